--- a/components/dispatch/src/limits.rs
+++ b/components/dispatch/src/limits.rs
@@ -1,48 +1,50 @@
-//! Every time limit and weight of the dispatcher, with where its figure comes from.
+//! Time limits, thresholds and budgets of the dispatcher, each with the reason for its value.
 
 use clock::Millis;
 
-/// The limits that differ between deployments come from the settings; the others are fixed here.
+/// The limits that differ between deployments. They come from the settings; all others are
+/// constants of this module.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// How long a lease is granted for. Shorter moves the tasks of lost workers sooner; longer rides
-    /// out the time without a leader, which is one to three seconds.
+    /// How long a lease is granted for. A shorter lease moves the tasks of lost workers sooner; a
+    /// longer one survives the time without a leader, which is one to three seconds.
     pub lease: Millis,
-    /// The longest lease that a leader before this one may have granted.
+    /// The longest lease that an earlier leader may have granted.
     pub longest_lease: Millis,
-    /// How long a finished job is remembered.
+    /// How long a finished job is kept.
     pub remember: Millis,
     /// How long a worker may take to stop a run.
     pub stop_takes: Millis,
-    /// For how long a worker that is leaving surely stays if it does not say so.
+    /// How long a leaving worker is certain to stay if it does not announce a time.
     pub leaving_notice: Millis,
-    /// Which parts of the decision are in use.
+    /// The scheduling mechanisms that are enabled.
     pub mechanisms: Mechanisms,
 }
 
-/// Parts of the decision that can be switched off each by itself, to measure what it is worth. Not a
-/// setting for operators: all are in use.
+/// Scheduling mechanisms that can be disabled one by one to measure the effect of each. This is no
+/// setting for operators: all are enabled by default.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mechanisms {
-    /// Tasks that take accelerators share workers.
+    /// Packs tasks that take accelerators onto shared workers.
     pub packs_accelerators: bool,
-    /// Room is kept free for gangs and large tasks that wait.
+    /// Reserves capacity for waiting gangs and large tasks.
     pub keeps_room: bool,
-    /// Runs that can afford it are stopped for those.
+    /// Preempts runs with enough slack for waiting gangs and large tasks.
     pub preempts: bool,
-    /// A job that must start soon to be in time goes before more urgent ones that have time.
+    /// Places a job that must start soon to meet its deadline before more urgent jobs that have
+    /// time.
     pub heeds_slack: bool,
-    /// The tasks of a job keep to one availability zone.
+    /// Keeps the tasks of a job in one availability zone.
     pub keeps_zones: bool,
-    /// Stragglers are moved, and slow workers spared.
+    /// Moves stragglers and deprioritises slow workers.
     pub moves_stragglers: bool,
-    /// Workers that fail task after task are set aside.
+    /// Quarantines workers that fail one task after another.
     pub sets_aside: bool,
-    /// How long answers to orders are awaited follows how long they take.
+    /// Adapts the timeout of a message to a worker to how long workers take to answer.
     pub learns_answer_times: bool,
-    /// Advice on later steps is asked for before they open.
+    /// Requests advice on later steps before they open.
     pub asks_ahead: bool,
-    /// New work keeps out of availability zones that have just fallen silent.
+    /// Places no new work in availability zones that have just fallen silent.
     pub avoids_silent_zones: bool,
 }
 
@@ -76,221 +78,252 @@
     }
 }
 
-/// By how much a worker's clock may run slow, in percent, rounded up from the two percent that the
-/// platform allows for.
+/// By how much a worker's clock may run slow, in percent. The platform allows for two percent,
+/// which is rounded up.
 pub(crate) const CLOCK_DRIFT_PERCENT: u64 = 3;
-/// Added to the end of a lease before its tasks are taken for gone: stopping takes a moment.
+/// Added to the end of a lease before its tasks are considered gone, because stopping them takes a
+/// moment.
 pub(crate) const LAPSE_SLACK: Millis = Millis(300);
 /// How long a renewal waits at a worker that runs something. The lease is renewed, and the progress
 /// of its tasks read, at least this often.
 const BUSY_WAIT: Millis = Millis(500);
-/// By how much each worker makes that longer: the leader's processor bounds how many answers it can
-/// take in a second, and ends are told at once whatever the wait.
+/// By how many milliseconds each worker extends that wait. The leader's processor bounds how many
+/// answers it can process in a second, and the end of a run is reported immediately whatever the
+/// wait.
 const BUSY_WAIT_PER_WORKER: u64 = 4;
-/// How long it may become: the lease must be renewed well before it ends.
+/// The upper bound of that wait. The lease must be renewed well before it ends.
 pub(crate) const LONGEST_BUSY_WAIT: Millis = Millis(1_500);
 
-/// Gives how long a renewal waits at a worker that runs something, among so many workers.
+/// Returns how long a renewal waits at a worker that runs something, in a fleet of `workers`
+/// workers.
 pub(crate) fn busy_wait(workers: usize) -> Millis {
     let scaled = Millis(workers as u64 * BUSY_WAIT_PER_WORKER);
     scaled.max(BUSY_WAIT).min(LONGEST_BUSY_WAIT)
 }
 
-/// How long it waits at a worker that runs nothing: the most that workers allow.
+/// How long a renewal waits at a worker that runs nothing: the longest wait that workers allow.
 pub(crate) const IDLE_WAIT: Millis = Millis(2_000);
-/// The pause before a renewal that got no answer is sent again to a worker that answered before.
+/// The pause before an unanswered renewal is sent again to a worker that has answered before.
 pub(crate) const RENEW_AGAIN: Millis = Millis(20);
-/// The same for one that did not.
+/// The pause before an unanswered renewal is sent again to a worker that has not answered before.
 pub(crate) const RENEW_RETRY: Millis = Millis(250);
-/// How long the answer to an order is awaited at least: answers come within some milliseconds, or tens of
-/// them where an end waits for its share of a processor.
+/// The shortest timeout for the answer to a start or stop. Answers come within some milliseconds,
+/// or some tens of milliseconds where the end of a run waits for its processor share.
 pub(crate) const SHORTEST_ANSWER: Millis = Millis(120);
-/// How long it is awaited at most, and at first.
+/// The longest timeout for the answer to a start or stop, and the first one.
 pub(crate) const LONGEST_ANSWER: Millis = Millis(400);
-/// The pause before a start or stop that got no answer is sent again. A lost answer must not make
+/// The pause before an unanswered start or stop is sent again. A longer one lets a lost answer make
 /// its job late.
 pub(crate) const ORDER_RETRY: Millis = Millis(20);
-/// After how many starts without an answer a run is stopped instead, so that its fate gets known.
+/// The number of unanswered starts after which a run is stopped instead, so that its fate becomes
+/// known.
 pub(crate) const START_TRIES: u32 = 5;
-/// A ticket is used only if it holds for this long yet: a commit and the way to the worker.
+/// How long a ticket must still be valid to be used: the time of a commit and of the message to the
+/// worker.
 pub(crate) const TICKET_MARGIN: Millis = Millis(120);
-/// The least pause between two calls for advice on one step.
+/// The minimum pause between two calls for advice on one step.
 pub(crate) const ADVICE_PAUSE: Millis = Millis(60);
-/// The pause after nobody was found to ask about. Looking through all workers for each of many steps
-/// that wait would take the leader's whole processor, and room comes with the ends that are planned on.
+/// The pause before a step is examined again after no worker was found to ask about. Scanning all
+/// workers for each of many waiting steps would take the leader's whole processor, and capacity is
+/// freed by the ends of runs, which trigger plans themselves.
 pub(crate) const NO_PROSPECTS_PAUSE: Millis = Millis(400);
-/// For how long at least a step for which no room was found is not looked at as one that might start. Room
-/// that comes where no ticket is at hand is found this late, while each look goes through all workers.
+/// The minimum time for which a step without free capacity is not re-examined as one that might
+/// start. Capacity that is freed where the step holds no ticket is found this much later, while
+/// each examination scans all workers.
 pub(crate) const LOOK_FOR_ROOM_AGAIN: Millis = Millis(500);
-/// How many such steps a plan looks at again: half of the looks that it may take, so that the other half is
-/// left to steps that were not looked at yet.
+/// The maximum number of such steps that a plan re-examines: half of its scans, which leaves the
+/// other half to steps that were not examined yet.
 pub(crate) const MOST_LOOKS_AGAIN: usize = MOST_SCANS as usize / 2;
-/// How many looks at a worker a plan may take in a millisecond, on average: each takes about a microsecond
-/// of a whole processor, of which the leader has less than half, so that a backlog never keeps it from
-/// taking in answers.
+/// The examination budget: how many workers plans may examine per millisecond, on average. One
+/// takes about a microsecond of a whole processor, of which the leader has less than half, so that
+/// a backlog never keeps it from processing answers.
 pub(crate) const LOOKS_A_MS: u64 = 50;
-/// How many looks at a worker a look at a step that waits counts as.
+/// How many examined workers one examined waiting step counts as.
 pub(crate) const LOOKS_A_STEP: u64 = 5;
-/// How many starts may be on their way to workers that answer. A start is confirmed within 50 ms, so 64
-/// do for 1,300 starts a second; a leader that sends more than it can take in the answers to believes
-/// them lost, sends them again, and takes in even fewer: that ended a day of 350 workers with 68% of its
-/// jobs not done.
+/// The maximum number of starts in flight to workers that answer. A start is confirmed within 50
+/// ms, so 64 suffice for 1,300 starts a second. A leader that sends more than it can process the
+/// answers to considers them lost, sends them again and processes even fewer: with 350 workers,
+/// that left 68% of a day's jobs not done.
 pub(crate) const MOST_ORDERS: usize = 200;
-/// For how many steps a plan looks through all workers for some to ask about. At 350 workers that takes
-/// most of a millisecond of a whole processor each time, and a backlog has hundreds of steps.
+/// The maximum number of steps for which a plan scans all workers for some to ask about. A scan of
+/// 350 workers takes most of a millisecond of a whole processor, and a backlog has hundreds of
+/// steps.
 pub(crate) const MOST_SCANS: u32 = 10;
-/// How many times longer than it costs a call for advice may take before somebody else is asked.
+/// The factor by which a call for advice may exceed its expected time before another instance is
+/// asked.
 pub(crate) const ADVICE_LATE: f64 = 1.5;
-/// How much longer still: the ways there and back, and a wait for a processor share at either end.
+/// Added to that time for the way there and back and for waits for a processor share at either end.
 pub(crate) const ADVICE_SLACK: Millis = Millis(200);
-/// How long a step lacks a call for advice, beside workers that are half empty and may run it, until it goes first. A call
-/// takes half a second, and nothing is to stand for three.
+/// How long a step lacks a call for advice, while half-empty workers might run it, before it is
+/// placed first. A call takes half a second, and nothing is to make no progress for three.
 pub(crate) const AGED_AFTER: Millis = Millis(1_000);
-/// How many such steps a plan puts first.
+/// The maximum number of such steps that a plan places first.
 pub(crate) const MOST_AGED: usize = 4;
-/// At the workers of how many such steps a plan looks.
+/// The maximum number of such steps for which a plan examines the half-empty workers.
 pub(crate) const MOST_LOOKS_AT_AGED: usize = 20;
-/// What part of all instances may be busy with calls for such steps, as one in so many.
+/// The divisor that limits calls for such steps: at most one in this many instances is busy with
+/// them.
 pub(crate) const AGED_PART: usize = 6;
-/// For how long an instance makes no calls for advice after one of its calls got no answer.
+/// The backoff of an instance whose call for advice got no answer, during which it makes no calls.
 pub(crate) const HELPER_REST: Millis = Millis(1_500);
-/// The most workers that one call for advice may name; the service takes no more.
+/// The maximum number of workers in a call for advice; the service accepts no more.
 pub(crate) const ADVICE_MOST_WORKERS: usize = 100;
-/// How many workers without room a call for advice that takes long names at most. Work that waits for
-/// room needs tickets at hand when it comes: a call takes a tenth of the time that a batch task runs,
-/// and the room would be idle for so long.
+/// The maximum number of workers without free capacity that a long call for advice names. Work that
+/// waits for capacity needs its tickets when capacity is freed: a call takes a tenth of the time
+/// that a batch task runs, and the capacity would be idle meanwhile.
 pub(crate) const ADVICE_MOST_FULL: usize = 30;
-/// A call for advice that takes no longer than this is short: it names many workers with room, since a
-/// second call would cost more than they do.
+/// The longest time of a call for advice that counts as short, in milliseconds. A short call names
+/// many workers with free capacity, since a second call would cost more than they do.
 pub(crate) const ADVICE_SHORT_MS: f64 = 60.0;
-/// How many workers a short call names where those do: among the 28 or so that are allowed there is a good
-/// one, and each more is looked at in every plan until the step is placed.
+/// How many workers a short call names if that many have capacity. Of the 28 or so of them that are
+/// allowed one is a good choice, and each further one is examined in every plan until the step is
+/// placed.
 pub(crate) const ADVICE_SHORT_WORKERS: usize = 40;
-/// How much more room is asked for than is needed, as advice may be gone stale when it comes.
+/// How much more capacity is asked about than is needed, because advice may be stale when it
+/// arrives.
 pub(crate) const ADVICE_ROOM_FACTOR: f64 = 1.5;
-/// How many workers a first call names at least.
+/// The minimum number of workers that a first call names.
 pub(crate) const ADVICE_LEAST_WORKERS: usize = 10;
-/// What part of the time that a long call takes whomever it names it may take for those that it names at least.
+/// The part of a long call's fixed time that it may spend at least on the workers that it names.
 pub(crate) const ADVICE_NAMED_PART: f64 = 0.5;
-/// From how many jobs on of which runs have failed in a row a worker may be set aside.
+/// The number of jobs with consecutive failed runs from which a worker may be quarantined.
 pub(crate) const FAILED_JOBS_IN_A_ROW: usize = 2;
-/// What part of a service's workers may be set aside at once, as one in so many: two thirds carry a usual load, and
-/// where more than a third fails what it runs the cause is rarely in the workers.
+/// The divisor that limits quarantine: at most one in this many workers of a service is quarantined
+/// at a time. Two thirds carry a usual load, and where more than a third fails what it runs the
+/// cause is rarely in the workers.
 pub(crate) const MOST_ASIDE_PART: usize = 3;
-/// After what time without another failure those of a worker are forgotten, counted from when it last stood
-/// aside: longer than the longest tasks that are not meant to last run, so that one that fails them all is found.
+/// How long a worker's failures count without another failure, from the end of its last quarantine.
+/// It exceeds the run time of the longest tasks that are not long-running, so that a worker that
+/// fails all of these is found.
 pub(crate) const FAILS_FADE: Millis = Millis(15_000);
-/// After what time without a failure a worker that is set aside gets a try where nothing else is left: a run that
-/// fails does so at once, and an answer takes tenths of a second.
+/// How long after its last failure a quarantined worker gets a try where no other worker is left. A
+/// run that fails does so immediately, and an answer takes tenths of a second.
 pub(crate) const TRY_AGAIN: Millis = Millis(1_000);
-/// How long a task that lasts waits among other work before it comes first. A call for advice takes half a second of
-/// it, and tasks that last are few beside the others, which wait for a tenth of a second by that.
+/// The maximum wait of a long-running task among other work before it is placed first. A call for
+/// advice takes half a second of it. Long-running tasks are few beside the others, which this
+/// delays by a tenth of a second.
 pub(crate) const LASTING_PATIENCE: Millis = Millis(1_000);
-/// The same for one that has never run: nobody has lost anything by it yet, so it waits among the others for as long as
-/// its first start may take and be in time. On a fleet that is asked for a quarter more than it has, new tasks that last
-/// would otherwise come before all quick jobs.
+/// The same maximum wait for a task that has never run. Nothing is lost by its wait yet, so it
+/// waits among the others for as long as its first start may take and still meet the deadline. On a
+/// fleet with a quarter more demand than capacity, new long-running tasks would otherwise be placed
+/// before all quick jobs.
 pub(crate) const FIRST_RUN_PATIENCE: Millis = Millis(4_000);
-/// How many steps with such tasks a plan puts first: half of those that it keeps room free for.
+/// The maximum number of steps with overdue tasks that a plan places first: half of those that it
+/// reserves capacity for.
 pub(crate) const MOST_OWED: usize = MOST_ROOMS_MADE as usize / 2;
-/// After how many looks at a worker a plan keeps no more room free for such steps: as many as it may take in 40 ms.
+/// The number of examined workers after which a plan reserves no more capacity for such steps: the
+/// examination budget of 40 ms.
 pub(crate) const MOST_LOOKS_FOR_OWED: u64 = LOOKS_A_MS * 40;
-/// How long each has its turn if there are more, and half of them change places: room comes with the end of a quick
-/// task, and a call for advice takes half a second.
+/// How long each of these steps keeps its turn if there are more of them; half of them change at
+/// the end of a turn. Capacity is freed by the end of a quick task, and a call for advice takes
+/// half a second.
 pub(crate) const OWED_TURN: Millis = Millis(1_000);
-/// For how long a worker is set aside first; doubled each time it happens again.
+/// How long a worker is quarantined the first time. It is doubled each further time.
 pub(crate) const SET_ASIDE: Millis = Millis(4_000);
-/// How often that is doubled at most. Without a try nobody learns that a worker is well again, and a
-/// job may be able to run nowhere else.
+/// The maximum number of doublings. Without a try nothing shows that a worker is healthy again, and
+/// a job may be able to run nowhere else.
 pub(crate) const MOST_DOUBLINGS: u32 = 1;
-/// From what part of the largest worker on a task counts as large, so that room is kept free for it:
-/// as one in so many. A smaller one fits into what any end leaves.
+/// The divisor of the largest worker's capacity from which a task counts as large, so that capacity
+/// is reserved for it. A smaller task fits into what the end of any run frees.
 pub(crate) const LARGE_PART: u64 = 4;
-/// For how many steps that wait for the same workers a plan keeps room free. Each looks through all workers,
-/// and later ones rarely find one that is not waited for already.
+/// The maximum number of steps waiting for the same workers for which a plan reserves capacity.
+/// Each scans all workers, and later steps rarely find one that is not reserved already.
 pub(crate) const MOST_ROOMS_MADE: u32 = 20;
-/// What part of the room of all workers that steps seek may stand idle for large tasks that wait, as one in so
-/// many: a quarter, so that on a fleet that is less than half full as much again is there for the others.
+/// The divisor that limits idle reserved capacity: one in this many parts of the capacity of all
+/// eligible workers. With a quarter, a fleet that is less than half full has as much again for
+/// other work.
 pub(crate) const MOST_KEPT_PART: u64 = 4;
-/// How much time a job must have to spare for one of its runs to be stopped for another: the stop, a call
-/// for advice, the restart from its progress, and a wait for room as long as a batch task runs.
+/// The slack that a job must have for one of its runs to be preempted: the stop, a call for advice,
+/// the restart from its checkpoint, and a wait for capacity as long as a batch task runs.
 pub(crate) const PREEMPT_SLACK: Millis = Millis(9_000);
-/// How long a task must run for others to be stopped for it: the stop, its end and the start behind it
-/// take half a second, in which room comes by itself for quicker ones. Without it quick tasks had 20 runs
-/// a second stopped at 80% load, and were late as often.
+/// The minimum run time of a task for which others are preempted. The stop, its end and the start
+/// behind it take half a second, in which capacity is freed by itself for quicker tasks. Without
+/// this minimum, quick tasks had 20 runs a second stopped at 80% load and were late as often.
 pub(crate) const SHORTEST_PREEMPTOR: Millis = Millis(1_500);
-/// With how little time to spare a job that waits goes before more urgent ones that have more: a call for
-/// advice, a commit and the wait for a stop.
+/// The slack below which a waiting job is placed before more urgent ones that have more: the time
+/// of a call for advice, a commit and the wait for a stop.
 pub(crate) const LAST_CALL: Millis = Millis(2_000);
-/// For how long an unhealthy or full worker gets nothing.
+/// The backoff of an unhealthy or full worker, during which it gets no work.
 pub(crate) const REST: Millis = Millis(700);
-/// The least time over which the speed of a run is measured.
+/// The minimum time over which the speed of a run is measured.
 pub(crate) const SPEED_WINDOW: Millis = Millis(250);
-/// For how long a run must not come on at all to count as standing still. Progress is told in whole
-/// percent, which the longest runs take a tenth of a second for.
+/// How long a run must make no progress at all to count as stalled. Progress is reported in whole
+/// percent, which takes the longest runs a tenth of a second each.
 pub(crate) const STANDSTILL: Millis = Millis(700);
-/// How many times longer than elsewhere a run must yet take to be moved. The tasks of a step differ by
-/// up to a third.
+/// By what factor the remaining time of a run must exceed that elsewhere for the run to be moved.
+/// The run times of a step's tasks differ by up to a third.
 pub(crate) const STRAGGLER_FACTOR: f64 = 2.0;
-/// How old a run must be to be moved: the first part of a run may be slow, as it starts.
+/// The minimum age of a run that is moved, as the first part of a run may be slow.
 pub(crate) const YOUNGEST_STRAGGLER: Millis = Millis(600);
-/// How many other workers must run a step to tell how fast it should be.
+/// The minimum number of other workers that must run a step to determine its expected speed.
 pub(crate) const FEWEST_OTHERS: usize = 2;
-/// What moving a run takes beside the stop: two commits and often a call for advice.
+/// The cost of moving a run besides the stop: two commits and often a call for advice.
 pub(crate) const MOVE_COST: Millis = Millis(300);
-/// How often a task is moved at most; if it is slow everywhere, the task is.
+/// The maximum number of times that a task is moved. A task that is slow on all these workers is
+/// slow itself.
 pub(crate) const MOST_MOVES: usize = 2;
-/// Below what share of the speed elsewhere, over all its runs, a worker counts as slow.
+/// The fraction of the speed elsewhere, over all its runs, below which a worker counts as slow.
 pub(crate) const SLOW_SHARE: f64 = 0.4;
-/// For how long a slow worker gets nothing new.
+/// How long a slow worker gets no new work.
 pub(crate) const SLOW_REST: Millis = Millis(2_500);
-/// After what silence a worker that runs nothing is forgotten.
+/// How long a worker that runs nothing is silent before it is forgotten.
 pub(crate) const FORGET_WORKER: Millis = Millis(20_000);
-/// For how long a run is young: it may yet end its worker. Tasks that end their workers do so as they start, or at
-/// their first checkpoint, and an end is known half a second later.
+/// How long a run counts as young, that is, may still crash its worker. Tasks that crash their
+/// workers do so as they start or at their first checkpoint, and an end is known half a second
+/// later.
 pub(crate) const YOUNG_RUN: Millis = Millis(2_000);
-/// After what time a run clears its task of the crashes before: longer than all but lasting tasks run. A task
-/// that ends its worker later than that is not given up, and takes a worker down twice a minute at most.
+/// How long a run survives to clear its task of earlier crashes: longer than all but long-running
+/// tasks run. The job of a task that crashes its worker later than that is not given up, and the
+/// task takes a worker down twice a minute at most.
 pub(crate) const CLEARED_AFTER: Millis = Millis(30_000);
-/// Workers that fall silent within this time fall silent together: a renewal that waits tells of a cut up to two
-/// seconds after an order does.
+/// The maximum time between workers that fall silent together. A renewal that waits shows a network
+/// cut up to two seconds later than a start or stop does.
 pub(crate) const TOGETHER: Millis = Millis(2_500);
-/// What part of the workers that must be, as one in so many: some fall silent at any time in a large fleet.
+/// The divisor of all workers that must fall silent together: at least one in this many. Some fall
+/// silent at any time in a large fleet.
 pub(crate) const TOGETHER_ONE_IN: usize = 100;
-/// What part of all workers tasks at fault take down in a second at most, as each is understood after three or four.
+/// The maximum fraction of all workers that faulty tasks take down in a second, as each is
+/// identified after three or four.
 pub(crate) const MOST_BY_TASKS_A_SECOND: f64 = LOST_TOGETHER_A_SECOND / 2.0;
-/// What part of all workers must be lost in a second, while they are being lost together, for that to have another cause
-/// than tasks at fault: each of these is understood after three or four workers, which are down for seconds each time.
+/// The minimum fraction of all workers lost per second, while they are being lost together, that
+/// indicates another cause than faulty tasks. Each faulty task is identified after three or four
+/// workers, which are down for seconds each time.
 pub(crate) const LOST_TOGETHER_A_SECOND: f64 = 0.4;
-/// The shortest and the longest time between two losses that come together: it takes milliseconds to take in hundreds of
-/// broken connections, and machines that go down for one reason do so within a tenth of a second of each other.
+/// The bounds of the time between two losses that count as coincident. Processing hundreds of
+/// broken connections takes milliseconds, and machines that go down for one reason do so within a
+/// tenth of a second of each other.
 pub(crate) const LOST_TOGETHER_GAP: (Millis, Millis) = (Millis(15), Millis(100));
-/// For how long losses tell how often workers are lost.
+/// How long losses count towards the rate at which workers are lost.
 pub(crate) const LOSS_RATE_WINDOW: Millis = Millis(5_000);
-/// How likely it must be that one of many workers is hit as often as workers are lost for that to excuse a loss: for less,
-/// a fault is the likelier cause.
+/// The minimum probability that a run's worker is lost at the observed rate of losses for that rate
+/// to excuse the loss. Below it a fault is the likelier cause.
 pub(crate) const LIKELY_HIT: f64 = 0.5;
-/// How unlikely it must be that chance has hit a run for the loss of its worker to count fully against it.
+/// The probability that chance has hit a run at which the loss of its worker counts fully against
+/// it.
 pub(crate) const SURELY_NOT_BY_CHANCE: f64 = 0.01;
-/// From how many tasks on that crashed their workers a step may seem to be at fault as a whole. With fewer, starting
-/// them all takes down as many workers at most, and no job that is well waits for it.
+/// The minimum number of tasks that crashed their workers for a step to count as faulty as a whole.
+/// With fewer, starting them all takes down at most as many workers, and no healthy job is delayed
+/// by the check.
 pub(crate) const FEWEST_SUSPECTS: usize = 4;
-/// How old a run must be, by an answer of its worker, for others of a step at fault to be started beside it: most tasks that
-/// end their workers do so within milliseconds. Waiting until it is old altogether would let a step of five that is at
-/// fault in nothing wait for six seconds; a step whose tasks all end their workers after a second loses one or two more.
+/// The minimum age of a run, by an answer of its worker, for other tasks of a faulty step to be
+/// started beside it. Most tasks that crash their workers do so within milliseconds. Waiting until
+/// the run is no longer young would delay a healthy step of five tasks by six seconds; a step whose
+/// tasks all crash their workers after a second loses one or two more.
 pub(crate) const SEEMS_WELL: Millis = Millis(500);
-/// For how many runs on workers of which nothing is heard the other tasks of a step at fault need not wait. A worker that
-/// vanishes without breaking its connections may have crashed all the same, which is known when its lease is over,
-/// five seconds later, so that a step at fault takes down four workers in that time at most.
+/// The maximum number of runs on workers out of contact that other tasks of a faulty step need not
+/// wait for. A worker that vanishes without breaking its connections may have crashed all the same,
+/// which is known when its lease is over, five seconds later; a faulty step takes down four workers
+/// in that time at most.
 pub(crate) const MOST_UNHEARD: usize = 3;
-/// How often jobs that ended long ago are dropped.
+/// The interval at which jobs that ended long ago are dropped.
 pub(crate) const FORGET_EVERY: Millis = Millis(5_000);
-/// How long a task that lasts waits before a line tells of it.
+/// How long a long-running task waits before its wait is logged.
 pub(crate) const LONG_WAIT: Millis = Millis(2_000);
-/// How often such a line is repeated at most for one step.
+/// The minimum interval between two wait log lines for one step.
 pub(crate) const WAIT_TOLD_AGAIN: Millis = Millis(5_000);
-/// How many such lines are written in a second at most. Each looks at all workers.
+/// The maximum number of wait log lines per second. Each examines all workers.
 pub(crate) const MOST_WAIT_LINES: usize = 5;
-/// How often a line tells of a call that shows no key of an organisation, at most.
+/// The minimum interval between log lines about calls that show no organisation's key.
 pub(crate) const KEY_TOLD_AGAIN: Millis = Millis(1_000);
-/// When callers come back that could not be served.
+/// When callers that could not be served are told to retry.
 pub(crate) const COME_BACK: Millis = Millis(300);
