--- a/components/dispatch/src/place.rs
+++ b/components/dispatch/src/place.rs
@@ -1,4 +1,5 @@
-//! Choosing workers for the tasks that wait.
+//! Placement of waiting tasks on workers: one plan examines open steps in order of urgency and
+//! starts what it can.
 
 use std::collections::BTreeMap;
 
@@ -17,20 +18,21 @@
 use crate::view::{Order, Stage, View};
 use crate::window::{Looked, Readiness};
 
-/// Which of a step's tasks a plan looks at, and before what.
+/// Which of a step's tasks a plan places, and in which order relative to other steps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Turn {
-    /// Those that last and have waited for too long, before all other work.
+    /// Overdue long-running tasks, before all other work.
     Owed,
-    /// Those of steps that have lacked a call for advice for long beside half-empty workers.
+    /// Tasks of steps that have long lacked a call for advice although half-empty workers may run
+    /// them.
     Aged,
-    /// All that wait, by urgency.
+    /// All waiting tasks, by urgency.
     Usual,
 }
 
 impl Dispatcher {
-    /// Gives out what can be given out, and asks for the advice that is missing. Gives what that took,
-    /// in looks at a worker.
+    /// Starts the tasks that can start, and requests the advice that is missing. Returns the cost
+    /// of the plan, in workers examined.
     pub(crate) fn plan(&mut self, m: Moment) -> u64 {
         self.waits.update(m, &self.book);
         self.wait_lines.choose(m.now, &self.waits);
@@ -57,9 +59,9 @@
         let owed_put_back = self.plan_state.put_back.len();
         self.plan_steps(m, Turn::Aged, aged, &mut orders);
         self.plan_steps(m, Turn::Usual, urgent, &mut orders);
-        // While some steps were not looked at for want of looks, as after a burst, these might start, so
-        // they come before steps that wait. And tickets are kept at hand only for those that come first
-        // when room does.
+        // While some steps were not examined because the plan's budget of scans ran out, as after a
+        // burst, those might start, so they come before steps that wait for capacity. Tickets are
+        // kept valid only for the steps that get freed capacity first.
         let all_looked_at = self.plan_state.without_look == 0;
         let waiting = if all_looked_at { self.plan_state.put_back.len() } else { owed_put_back };
         self.plan_steps(m, Turn::Usual, by_turns, &mut orders);
@@ -75,7 +77,7 @@
         self.plan_state.looks
     }
 
-    /// Chooses the open steps that a plan looks at.
+    /// Selects the open steps that a plan examines.
     fn look_at(&mut self, m: Moment) -> Looked {
         let mut window = std::mem::take(&mut self.window);
         let readiness = |key: &StepKey| {
@@ -91,8 +93,8 @@
         looked
     }
 
-    /// Gives the steps with tasks that last, have waited for long and would not be looked at in this plan, the first ones
-    /// of them: they are looked at however many stand before them.
+    /// Returns the first steps with long-waiting, long-running tasks that this plan would not
+    /// examine otherwise. They are examined however many steps precede them.
     fn long_waiting(&self, m: Moment, urgent: &[OpenStep], by_turns: &[OpenStep]) -> Vec<OpenStep> {
         let waits = self.waits.steps().filter(|(_, since)| m.now.since(*since) >= LONG_WAIT);
         let mut waits: Vec<(Millis, StepKey)> = waits.map(|(key, at)| (at, *key)).collect();
@@ -102,17 +104,19 @@
         entries.filter(is_new).filter(|e| !self.is_at_limit(&e.key)).take(MOST_OWED).collect()
     }
 
-    /// Gives a step with its place among those that wait.
+    /// Returns a step with its position among the waiting steps.
     fn open_step(&self, key: StepKey) -> Option<OpenStep> {
         let job = self.book.job(key.job)?;
         Some(OpenStep { priority: job.priority, order: job.order, key })
     }
 
-    /// Gives the steps with tasks that last and have waited for long, as many as a plan puts first. If there are
-    /// more, each has its turn of some time, so that those that can start nowhere do not stand before the others.
+    /// Returns the steps with overdue long-running tasks, as many as a plan places first. If there
+    /// are more, they rotate after a fixed time, so that steps that can start nowhere do not block
+    /// the others.
     ///
-    /// Load pattern: a backlog of smaller tasks, more and less urgent ones, takes all room as it comes free and all
-    /// calls for advice. A task that lasts asks for little and waits once in a while, but never finds both at once.
+    /// Load pattern: a backlog of smaller tasks, more and less urgent ones, takes all capacity as
+    /// it is freed and all calls for advice. A long-running task needs little and waits once in a
+    /// while, but never gets both at the same time.
     fn owed_steps(&self, m: Moment) -> Vec<OpenStep> {
         let owed = self.waits.owed_steps(m.now).filter(|(key, _)| !self.is_at_limit(key));
         let mut owed: Vec<(Millis, StepKey)> = owed.map(|(k, at)| (at, *k)).collect();
@@ -126,7 +130,7 @@
         owed.into_iter().filter_map(|(_, key)| self.open_step(key)).collect()
     }
 
-    /// Places what it can of some steps, and adds the tasks to the starts under way.
+    /// Places what it can of some steps, and adds the placed tasks to the starts in flight.
     fn plan_steps(&mut self, m: Moment, turn: Turn, steps: Vec<OpenStep>, orders: &mut usize) {
         for entry in steps {
             if *orders >= MOST_ORDERS {
@@ -136,7 +140,7 @@
         }
     }
 
-    /// Places what it can of a step; gives how many tasks that were.
+    /// Places what it can of a step. Returns how many tasks were placed.
     fn plan_step(&mut self, m: Moment, turn: Turn, entry: OpenStep) -> usize {
         let key = entry.key;
         let Some(job) = self.book.job(key.job) else { return 0 };
@@ -144,7 +148,8 @@
         let (queue, job) = (job.queue.clone(), job.spec.clone());
         let spec = &job.steps[key.step as usize];
         let Some(step) = self.book.step(&key) else { return 0 };
-        // The members of a gang wait from the same moment on, so all of them are meant or none is.
+        // The members of a gang start to wait at the same time, so all of them are eligible or none
+        // is.
         let is_meant = |index: &u32| {
             turn != Turn::Owed || self.waits.is_owed(m.now, &TaskKey { step: key, index: *index })
         };
@@ -173,10 +178,12 @@
         if !placed.is_empty() {
             self.give_out(m, &key, spec, placed, next_run);
         }
-        // What is kept free from here on, the step keeps for itself.
+        // The step may use the capacity that is reserved from here on, so its wait is logged before
+        // that.
         self.tell_wait(m, &key, true);
         if left == 0 && held_back > 0 {
-            // They may start as soon as the others seem well, so tickets for them are had by then.
+            // The suspects that are held back may start as soon as the others seem healthy, so
+            // their tickets are requested ahead.
             if let Some(policy) = advice {
                 let (tasks, urge) = (held_back as u64, Dispatcher::urge(turn));
                 self.ask(m, Need { key, queue, policy, job, tasks, reach, urge });
@@ -191,7 +198,8 @@
             self.look_ahead(m, entry);
             return found;
         }
-        // Before room is kept free: what the step keeps for itself is room for it.
+        // This precedes the reservation, because capacity that the step reserves is free for the
+        // step itself.
         if let Some(policy) = advice {
             let (job, tasks, urge) = (job.clone(), left as u64, Dispatcher::urge(turn));
             self.ask(m, Need { key, queue, policy, job, tasks, reach, urge });
@@ -200,7 +208,7 @@
         found
     }
 
-    /// Gives a worker if tasks of a step may run there at all.
+    /// Returns the worker if tasks of a step may run there, whatever capacity it has free.
     pub(crate) fn suitable(
         &self,
         m: Moment,
@@ -215,7 +223,8 @@
         self.is_suitable(m, reach, &job.service, spec, worker, view).then_some(worker)
     }
 
-    /// The same for one who has looked everything up.
+    /// Returns whether tasks of a step may run on a worker, for a caller that has looked up the
+    /// service, the worker and its view.
     pub(crate) fn is_suitable(
         &self,
         m: Moment,
@@ -230,7 +239,8 @@
         sought && self.reaches(m, reach, worker, view) && self.mixes(spec, worker)
     }
 
-    /// Tells whether some other worker has room for a task of a step, and may run it.
+    /// Returns whether another worker than `not_on` has capacity for a task of a step and may run
+    /// it.
     pub(crate) fn has_room_elsewhere(&self, m: Moment, key: &StepKey, not_on: &WorkerId) -> bool {
         let Some(job) = self.book.job(key.job) else { return false };
         let spec = &job.spec.steps[key.step as usize];
@@ -243,8 +253,8 @@
         self.views.keys().any(|id| id != not_on && takes(id))
     }
 
-    /// Tells whether a step may run beside what a worker runs: fillers disturb tasks that keep a
-    /// target latency, so the two are kept apart.
+    /// Returns whether a step may run beside the tasks that a worker runs. Fillers disturb tasks
+    /// with a target latency, so the two are kept apart.
     pub(crate) fn mixes(&self, spec: &StepSpec, worker: &Worker) -> bool {
         let has_target = spec.target_latency > Millis::ZERO;
         if !spec.filler && !has_target {
@@ -258,13 +268,14 @@
         others.next().is_none()
     }
 
-    /// Gives what the plan under way keeps free on a worker.
+    /// Returns the capacity that the current plan reserves on a worker.
     pub(crate) fn kept_free_on(&self, id: &WorkerId) -> Size {
         self.plan_state.kept_free.get(id).copied().unwrap_or_default()
     }
 
-    /// Gives the room that counts for a step, less what is kept free for more urgent tasks. A filler
-    /// takes no processor time from others, but is placed only where some is left for it.
+    /// Returns the free capacity of a worker that counts for a step, less what is reserved for more
+    /// urgent tasks. A filler takes no processor time from other tasks, but is placed only where
+    /// some is left for it.
     pub(crate) fn room_for(&self, spec: &StepSpec, worker: &Worker) -> Size {
         let free = worker.free().minus(&self.kept_free_on(&worker.info.id));
         if !spec.filler {
--- a/components/dispatch/src/room.rs
+++ b/components/dispatch/src/room.rs
@@ -1,7 +1,7 @@
-//! Room for gangs and large tasks that wait. A gang starts only where all of its tasks find room at once,
-//! and a large task only where much comes free on one worker; smaller tasks would take each part of that
-//! as it comes. So room is kept free for them on the workers where it will be there first, and made
-//! there by stopping runs that can afford it.
+//! Capacity reservations for waiting gangs and large tasks. A gang starts only where all of its
+//! tasks fit at the same time, and a large task only where much is freed on one worker; smaller
+//! tasks would take each part of that as it is freed. So capacity is reserved for them on the
+//! workers where it will be free first, and freed there by preempting runs that have slack.
 
 use std::collections::BTreeSet;
 
@@ -21,33 +21,35 @@
 use crate::standing::Reach;
 use crate::view::{Stage, View};
 
-/// Which workers a step may go to, whatever room they have. Steps that wait for some workers must not use up
-/// what a plan does for those that wait for others.
+/// The workers that are eligible for a step, whatever capacity they have free. Reservations are
+/// limited per such set, so that steps waiting for some workers do not use up the limit of those
+/// waiting for others.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Sought {
     service: Name,
     label: Option<Name>,
 }
 
-/// What a plan keeps free on the workers that some steps seek.
+/// What a plan reserves on the workers that are eligible for the same steps.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Kept {
-    /// For how many steps it was looked for.
+    /// The number of steps for which capacity was sought.
     steps: u32,
-    /// What stands idle for them by now.
+    /// The reserved capacity that is idle so far.
     idle: Size,
-    /// What all those workers have.
+    /// The total capacity of these workers.
     of: Size,
 }
 
 impl Kept {
-    /// Tells whether so much more may stand idle. Whatever it takes may for the first.
+    /// Returns whether `idle` more may be reserved idle. The first reservation is always allowed,
+    /// whatever its size.
     fn allows(&self, idle: &Size) -> bool {
         self.idle == Size::ZERO || self.idle.plus(idle).times(MOST_KEPT_PART).fits(&self.of)
     }
 }
 
-/// A run that may be stopped for another.
+/// A run that may be preempted for another.
 struct Victim {
     task: TaskKey,
     run: u32,
@@ -57,34 +59,35 @@
 /// A worker that tasks of a step may wait for.
 struct Place {
     worker: WorkerId,
-    /// What is free or will be once runs that are being stopped are gone, less what is kept free.
+    /// What is free, or will be once runs that are being stopped have ended, less what is reserved.
     free: Size,
-    /// What of that is free now.
+    /// The part of that which is free now.
     idle: Size,
-    /// The runs that may be stopped, those that free the most first.
+    /// The runs that may be preempted, those that free the most first.
     victims: Vec<Victim>,
-    /// What everything else on the worker takes that ends by itself.
+    /// What all other runs on the worker take that end by themselves.
     ending: Size,
-    /// How many more tasks of the step the worker may take.
+    /// How many more tasks of the step the worker may run.
     most: u64,
-    /// For how many tasks of the step room is set aside here.
+    /// The number of tasks of the step for which capacity is reserved here.
     taken: u64,
-    /// The runs to stop for them.
+    /// The runs to preempt for them.
     stopped: Vec<Victim>,
 }
 
-/// What one more task has to wait for on a worker, the cheapest first.
+/// What one more task has to wait for on a worker, ordered from the cheapest to the most expensive.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Wait {
-    /// There is room, or there will be in a moment.
+    /// Nothing: the capacity is free, or will be in a moment.
     None,
-    /// So many runs have to be stopped.
+    /// This many runs have to be preempted.
     Stops(usize),
-    /// Runs have to end by themselves that take so many accelerators and so much processor time.
+    /// Runs that take so many accelerators and so much processor time have to end by themselves.
     Ends(u64, u64),
 }
 
-/// Tells whether a task takes so much of a worker that it does not fit into what any end leaves.
+/// Returns whether a task takes so much of a worker that it does not fit into what the end of any
+/// run frees.
 fn is_large(size: &Size, capacity: &Size) -> bool {
     let large = |d: &Dimension| {
         size.get(*d).saturating_mul(LARGE_PART) >= capacity.get(*d) && size.get(*d) > 0
@@ -93,7 +96,8 @@
 }
 
 impl Place {
-    /// Gives what one more task would have to wait for here.
+    /// Returns what one more task would have to wait for here, or `None` if it can never start
+    /// here.
     fn wait(&self, size: &Size) -> Option<Wait> {
         if self.taken >= self.most {
             return None;
@@ -109,7 +113,7 @@
         fits.then_some(Wait::Ends(self.ending.accelerators, self.ending.cpu_milli))
     }
 
-    /// Sets room aside for one more task.
+    /// Reserves capacity for one more task.
     fn take(&mut self, size: &Size, wait: Wait) {
         if let Wait::Stops(stops) = wait {
             for victim in self.victims.drain(..stops) {
@@ -125,16 +129,17 @@
         self.taken += 1;
     }
 
-    /// Gives what stands idle here until the tasks start.
+    /// Returns the reserved capacity that is idle here until the tasks start.
     fn kept_idle(&self, size: &Size) -> Size {
         self.idle.least(&size.times(self.taken))
     }
 }
 
 impl Dispatcher {
-    /// Keeps room free for those tasks of a step that could not be placed, and stops runs for them that
-    /// are less urgent, keep their progress and have time to spare. Does nothing for small tasks, unless they last
-    /// and have waited for long, or for a gang where the workers that are known to be allowed would not do for all of it.
+    /// Reserves capacity for those tasks of a step that could not be placed, and preempts runs for
+    /// them that are less urgent, keep checkpoints and have slack. Does nothing for small tasks,
+    /// unless they are overdue, nor for a gang where the workers that are known to be allowed
+    /// cannot hold all of it.
     pub(crate) fn make_room(
         &mut self,
         m: Moment,
@@ -157,15 +162,15 @@
         if kept.steps >= MOST_ROOMS_MADE {
             return;
         }
-        // Going through all workers for each step that waits would take a quarter of the leader's processor
-        // at 350 workers, and few are allowed.
+        // Scanning all workers for each waiting step would take a quarter of the leader's processor
+        // with 350 workers, and few of them are allowed.
         let ids: Vec<&WorkerId> = match by_advice {
             true => self.desk.allowed(key).collect(),
             false => self.views.keys().collect(),
         };
         let mut workers = ids.iter().filter_map(|id| self.book.worker(id));
-        // A task that lasts and has waited for long waits for room like a large one: smaller tasks take what
-        // comes free.
+        // An overdue long-running task waits for capacity like a large one, because smaller tasks
+        // take what is freed.
         let owed = turn == Turn::Owed && self.plan_state.looks < MOST_LOOKS_FOR_OWED;
         let waits_for_room = spec.gang || owed;
         if !waits_for_room && !workers.any(|w| is_large(&spec.size, &w.info.capacity)) {
@@ -200,7 +205,7 @@
         self.plan_state.rooms_made.insert(sought, kept);
     }
 
-    /// Keeps room free at a place, and stops what has to be stopped for it.
+    /// Records the reservation on one worker, and preempts the runs that it needs ended.
     fn keep(&mut self, key: &StepKey, spec: &StepSpec, place: Place) {
         let wanted = spec.size.times(place.taken);
         let kept = self.plan_state.kept_free.entry(place.worker.clone()).or_default();
@@ -210,7 +215,7 @@
         }
     }
 
-    /// Gives what all the workers have that some steps seek.
+    /// Returns the total capacity of the workers that are eligible for some steps.
     fn room_of(&self, sought: &Sought) -> Size {
         let Sought { service, label } = sought;
         let infos = self.book.workers().values().map(|w| &w.info);
@@ -219,7 +224,7 @@
         sought.fold(Size::ZERO, |a, i| a.plus(&i.capacity))
     }
 
-    /// Tells whether the advice service is asked about a step.
+    /// Returns whether a step needs advice.
     fn is_by_advice(&self, key: &StepKey) -> bool {
         self.book.job(key.job).is_some_and(|j| self.advice_of.contains_key(&j.queue))
     }
@@ -263,8 +268,8 @@
         })
     }
 
-    /// Sorts what runs on a worker into what may be stopped for a step, the room of what is being
-    /// stopped, and the room of what ends by itself.
+    /// Splits the runs on a worker into those that may be preempted for a step, the capacity of
+    /// those that are being stopped, and the capacity of those that end by themselves.
     fn sort_runs(
         &self,
         m: Moment,
--- a/components/dispatch/src/seats.rs
+++ b/components/dispatch/src/seats.rs
@@ -1,4 +1,4 @@
-//! The workers that could take tasks of a step, and the best of them for each task.
+//! The candidate workers for tasks of a step, and the best of them for each task.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,28 +10,31 @@
 use crate::standing::Reach;
 use crate::suspects::{Suspicion, YoungSuspects};
 
-/// What a worker on which a task has failed is worse by than one that is filled to the brim.
+/// The cost of a worker on which a run of the task has failed: more than that of a completely
+/// filled one.
 const AVOID_PENALTY: f64 = 10.0;
-/// What a worker is worse by for each run that has just failed there.
+/// The cost of a worker per job whose runs have recently failed there.
 const FAIL_PENALTY: f64 = 3.0;
-/// What a worker is worse by for each task that runs young there and under which another worker has crashed: as much
-/// as an empty worker is better than a full one, so that suspects spread over all workers there are.
+/// The cost of a worker per young suspect that runs there, that is, a task under which another
+/// worker has crashed. It equals the difference between an empty worker and a full one, so that
+/// suspects spread over all workers.
 const SUSPECT_PENALTY: f64 = 2.0;
-/// What a worker is worse by for a task on its last try if anything young runs there, which would be suspected with it:
-/// more than any other wish.
+/// The cost of a worker for a task on its last try if anything young runs there, which would be
+/// suspected with it. It exceeds every other preference.
 const COMPANY_PENALTY: f64 = 20.0;
-/// What a worker far from the task's data is worse by.
+/// The cost of a worker that is far from the task's data.
 const FAR_PENALTY: f64 = 5.0;
-/// What a worker in another availability zone than the rest of the job is worse by: half of the
+/// The cost of a worker in another availability zone than the rest of the job: half of the
 /// difference between an empty worker and a full one.
 const OTHER_ZONE_PENALTY: f64 = 1.0;
-/// What a worker is worse by for a task that takes accelerators if it keeps all of its own free, against
-/// one that keeps none: more than the rest of the cost can make up for, so that such tasks share workers
-/// and others stay whole for those that take all accelerators of one. Spread evenly, tasks with one
-/// accelerator made 14% of the jobs that need whole workers late at 80% load.
+/// The cost of a worker for a task that takes accelerators if all accelerators of the worker are
+/// still free afterwards, in proportion for some of them. The rest of the cost cannot outweigh it,
+/// so such tasks share workers, and other workers stay whole for tasks that take all accelerators
+/// of one. Spread evenly, tasks with one accelerator made 14% of the jobs that need whole workers
+/// late at 80% load.
 const FREE_ACCELERATORS_PENALTY: f64 = 4.0;
 
-/// Gives how many tasks of a step fit into some room.
+/// Returns how many tasks of a step fit into some free capacity.
 pub(crate) fn fits(spec: &StepSpec, free: &Size) -> u64 {
     let per = |free: u64, need: u64| free.checked_div(need).unwrap_or(u64::MAX);
     per(free.cpu_milli, spec.size.cpu_milli)
@@ -39,12 +42,12 @@
         .min(per(free.accelerators, spec.size.accelerators))
 }
 
-/// Gives how many tasks of a step a worker runs.
+/// Returns how many tasks of a step a worker runs.
 fn runs_of(key: &StepKey, worker: &Worker) -> u32 {
     worker.runs.keys().filter(|k| k.step == *key).count() as u32
 }
 
-/// Gives how many more tasks of a step a worker may run, whatever room it has.
+/// Returns how many more tasks of a step a worker may run, whatever capacity it has free.
 pub(crate) fn most_more(key: &StepKey, spec: &StepSpec, worker: &Worker) -> u64 {
     match spec.max_per_worker {
         0 => u64::MAX,
@@ -52,9 +55,9 @@
     }
 }
 
-/// A task that has found a worker.
+/// A task assigned to a worker.
 pub(crate) struct Seated {
-    /// The task's place in its step.
+    /// The index of the task in its step.
     pub(crate) index: u32,
     pub(crate) worker: WorkerId,
     pub(crate) ticket: Option<Name>,
@@ -67,31 +70,31 @@
     capacity: Size,
     free: Size,
     zone: Name,
-    /// How many tasks of the step are there.
+    /// The number of tasks of the step that run there.
     here: u32,
     near: bool,
     rack: Option<Name>,
     ticket: Option<Name>,
-    /// How many runs have failed there since the last one that was done.
+    /// The number of jobs with failed runs that count against it.
     fails: u32,
-    /// The suspects that run young there.
+    /// The young suspects that run there.
     suspects: YoungSuspects,
-    /// Whether anything runs young there, as far as that matters.
+    /// Whether anything young runs there. It is determined only where there are suspects.
     runs_young: bool,
-    /// Whether it takes one task only, as a try.
+    /// Whether it is on probation and takes only one task, as a try.
     on_trial: bool,
-    /// Whether it may take a task whose job is over if it fails once more.
+    /// Whether it may take a task whose job ends if it fails once more.
     takes_last_attempts: bool,
-    /// Whether it was given a task in this plan.
+    /// Whether it was assigned a task in this plan.
     taken: bool,
 }
 
-/// What the seats of a step are chosen by, besides their room.
+/// The preferences by which candidates of a step are compared, besides their free capacity.
 struct Wishes<'a> {
-    /// The availability zones that the tasks should go to; empty for any.
+    /// The preferred availability zones; empty for any.
     home: &'a BTreeSet<Name>,
     packs_accelerators: bool,
-    /// What is held against the task.
+    /// How strongly the task is suspected.
     suspicion: Suspicion,
 }
 
@@ -102,8 +105,9 @@
         !crowded && !tried && room.fits(&self.free)
     }
 
-    /// Gives how badly a task sits here: how full the worker would be. Tasks use more than they
-    /// declare, so crowded ones hold each other up, and a lost worker takes less with it.
+    /// Returns the cost of placing a task here, which grows with how full the worker would be.
+    /// Tasks use more than they declare, so crowded ones slow each other down, and a lost worker
+    /// takes fewer with it.
     fn cost(&self, room: &Size, spec: &StepSpec, wishes: &Wishes<'_>, avoided: bool) -> f64 {
         let left = self.free.minus(room);
         let part = |left: u64, of: u64| left as f64 / of.max(1) as f64;
@@ -133,7 +137,7 @@
 }
 
 impl Dispatcher {
-    /// Gives the workers that may take tasks of a step now.
+    /// Returns the candidate workers that may take tasks of a step now.
     pub(crate) fn seats(
         &self,
         m: Moment,
@@ -144,7 +148,7 @@
     ) -> Vec<Seat> {
         let suspected = !self.book.crashes().is_empty();
         let seat = |id: &WorkerId, ticket: Option<Name>| {
-            // Most workers are full when much waits, and this tells at once.
+            // With a backlog most workers are full, and this check is the cheapest.
             let worker = self.book.worker(id).filter(|w| spec.room().fits(&w.free()))?;
             self.suitable(m, reach, key, spec, id)?;
             let near = spec.rack.as_ref().is_some_and(|r| worker.info.labels.contains(r));
@@ -162,7 +166,7 @@
                 suspects: self.plan_state.young_suspects.get(id).copied().unwrap_or_default(),
                 runs_young: suspected && self.runs_young(m.now, id),
                 on_trial: on_trial && reach != Reach::All,
-                // A failed try must not end a job, unless it would wait for nothing else.
+                // A failed try must not end a job, unless the job has nothing else to wait for.
                 takes_last_attempts: !on_trial || reach != Reach::Good,
                 taken: false,
             })
@@ -184,7 +188,7 @@
         seats: &mut [Seat],
     ) -> Vec<Seated> {
         let mut placed = Vec::new();
-        // With a backlog most steps find every worker full, and need no home.
+        // With a backlog most steps find every worker full, and need no preferred zone.
         if seats.is_empty() {
             return placed;
         }
@@ -198,10 +202,10 @@
         placed
     }
 
-    /// Gives the availability zones that the tasks of a step should go to: those where its job runs
-    /// already, or the one with the most room. A job is late if one of its tasks is, so the fewer
-    /// zones it is spread over, the fewer jobs does the cut of a zone hit. Tasks that last count each
-    /// by itself and may go anywhere.
+    /// Returns the preferred availability zones for the tasks of a step: those where its job
+    /// already runs, or the one with the most free capacity. A job is late if one of its tasks is,
+    /// so the fewer zones it spans, the fewer jobs the loss of a zone affects. Long-running tasks
+    /// count individually and may go anywhere.
     fn home(&self, key: &StepKey, spec: &StepSpec, tasks: usize, seats: &[Seat]) -> BTreeSet<Name> {
         if spec.long_running || !self.limits.mechanisms.keeps_zones {
             return BTreeSet::new();
@@ -218,7 +222,7 @@
         best.map(|(zone, _)| zone.clone()).into_iter().collect()
     }
 
-    /// Gives the zones of the workers that a job runs on.
+    /// Returns the zones of the workers that a job runs on.
     fn zones_of(&self, key: &StepKey) -> BTreeSet<Name> {
         let Some(job) = self.book.job(key.job) else { return BTreeSet::new() };
         let tasks = job.rounds.iter().flat_map(|r| &r.steps).flat_map(|s| &s.tasks);
@@ -226,14 +230,14 @@
         workers.map(|w| w.info.zone.clone()).collect()
     }
 
-    /// Tells whether a task's job is over if one more of its runs fails.
+    /// Returns whether a task's job ends if one more of its runs fails.
     fn is_last_attempt(&self, task: &TaskKey, spec: &StepSpec) -> bool {
         let Some(job) = self.book.job(task.step.job) else { return false };
         let failed = self.book.task(&self.book.suspect(task)).map_or(0, |t| t.failed);
         !spec.long_running && failed + 1 >= job.max_attempts
     }
 
-    /// Takes the best seat for a task.
+    /// Assigns the best candidate to a task, and counts the task against its capacity.
     fn best_seat<'a>(
         &self,
         task: &TaskKey,
@@ -241,7 +245,7 @@
         seats: &'a mut [Seat],
         home: &BTreeSet<Name>,
     ) -> Option<&'a Seat> {
-        // A filler, too, looks for processor time where it is placed.
+        // A filler also needs its declared processor time where it is placed.
         let room = spec.size;
         let avoid = self.avoid.get(task);
         let avoided = |s: &Seat| avoid.is_some_and(|a| a.contains(&s.worker));
@@ -267,7 +271,7 @@
         Some(best)
     }
 
-    /// Seats a whole gang or nobody, on one rack where that matters and can be had.
+    /// Assigns all tasks of a gang or none, on one rack where that is required and possible.
     pub(crate) fn seat_gang(
         &self,
         key: &StepKey,
