--- a/components/dispatch/src/advice.rs
+++ b/components/dispatch/src/advice.rs
@@ -1,4 +1,4 @@
-//! Advice: which workers may run a step. The service behind it takes one call at a time from each
+//! Advice: which workers may run a step. The advice service takes one call at a time from each
 //! instance and answers slowly, so calls are spread over instances, name only workers that could
 //! take a task, and are made ahead of need.
 
@@ -15,13 +15,14 @@
 };
 use crate::reserve::Reserve;
 
-/// Gives what a call that names so many workers takes, in milliseconds.
+/// Returns how long a call that names so many workers takes, in milliseconds.
 pub(crate) fn cost_ms(policy: &AdvicePolicy, workers: usize) -> f64 {
     policy.base_ms + policy.per_worker_ms * workers as f64
 }
 
-/// Gives how many workers a call names at least. Where steps wait for an instance to make a call, a long one names as many
-/// as make it half as long again as one that names nobody: each that names too few is followed by another.
+/// Returns the minimum number of workers that a call names. Where steps wait for an instance to
+/// make a call, a long one names as many as make it half as long again as one that names nobody,
+/// since each call that names too few is followed by another.
 fn least_named(policy: &AdvicePolicy, lacked_callers: bool) -> usize {
     if is_short(policy) || !lacked_callers {
         return ADVICE_LEAST_WORKERS;
@@ -30,7 +31,7 @@
     (workers as usize).clamp(ADVICE_LEAST_WORKERS, ADVICE_MOST_WORKERS)
 }
 
-/// Tells whether calls under a policy are over quickly, so that they need not make way for others.
+/// Returns whether calls under a policy are short, so that no instances are reserved against them.
 fn is_short(policy: &AdvicePolicy) -> bool {
     cost_ms(policy, ADVICE_LEAST_WORKERS) <= ADVICE_SHORT_MS
 }
@@ -38,24 +39,24 @@
 /// A call for advice that an instance is to make.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdviceAsk {
-    /// The number that the answer bears.
+    /// The number that identifies the answer.
     pub id: u64,
-    /// Who makes the call.
+    /// The instance that makes the call.
     pub helper: InstanceId,
-    /// The step.
+    /// The step that advice is requested on.
     pub step: StepKey,
-    /// The workers asked about.
+    /// The workers that the call asks about.
     pub workers: Vec<WorkerId>,
 }
 
-/// Leave to run a step on a worker.
+/// Permission to run a step on a worker.
 #[derive(Clone, Debug)]
 struct Ticket {
     text: Name,
     until: Millis,
 }
 
-/// What is known about one step. Which workers are allowed never changes; tickets run out.
+/// What is known about one step. Which workers are allowed never changes; tickets expire.
 #[derive(Clone, Debug, Default)]
 struct StepAdvice {
     tickets: BTreeMap<WorkerId, Ticket>,
@@ -63,13 +64,13 @@
     barred: BTreeSet<WorkerId>,
     asked: Option<u64>,
     next_at: Millis,
-    /// Since when it has wanted a call and no instance was free to make it.
+    /// Since when the step has needed a call and no instance was free to make it.
     lacks_since: Option<Millis>,
-    /// If the last look found nobody with room.
+    /// Set if the last examination found no worker with free capacity.
     waiting: Option<WaitForRoom>,
 }
 
-/// A step for which no room was found.
+/// A step for which no free capacity was found.
 #[derive(Clone, Copy, Debug)]
 struct WaitForRoom {
     looked_at: Millis,
@@ -77,27 +78,27 @@
 }
 
 impl StepAdvice {
-    /// Gives when it is worth looking for workers to ask about again, if there were none just now: when
-    /// the first ticket is due to be renewed, or after a while.
+    /// Returns when to look for workers to ask about again after none was found: when the first
+    /// ticket is due for renewal, or after a pause.
     fn next_look(&self, now: Millis, renewal: Millis) -> Millis {
         let due = self.tickets.values().map(|t| t.until.since(renewal));
-        // A ticket that was not renewed in time is one for a worker that is not usable.
+        // A ticket that was not renewed in time belongs to a worker that is not usable.
         let first_due = due.filter(|t| *t > now).min();
         let pause = now + NO_PROSPECTS_PAUSE;
         first_due.unwrap_or(pause).min(pause).max(now + ADVICE_PAUSE)
     }
 }
 
-/// A call under way.
+/// A call in flight.
 #[derive(Clone, Debug)]
 struct Asked {
     step: StepKey,
     queue: Name,
     helper: InstanceId,
     workers: Vec<WorkerId>,
-    /// When somebody else is asked.
+    /// When another instance is asked.
     give_up_at: Millis,
-    /// Whether that has happened. An answer still counts.
+    /// Whether another instance may have been asked. A late answer still counts.
     overdue: bool,
     urge: Urge,
 }
@@ -112,88 +113,90 @@
 /// A worker that could take tasks of a step now.
 pub(crate) struct Prospect {
     pub(crate) worker: WorkerId,
-    /// How many tasks of the step it has room for.
+    /// How many tasks of the step it has capacity for.
     pub(crate) fits: u64,
 }
 
-/// What a call is wanted for.
+/// What a call is needed for.
 pub(crate) struct Want<'a> {
     pub(crate) step: StepKey,
     pub(crate) queue: &'a Name,
     pub(crate) policy: AdvicePolicy,
     /// How many tasks wait, or will.
     pub(crate) tasks: u64,
-    /// Whether they start all at once or not at all.
+    /// Whether the tasks start all together or not at all.
     pub(crate) gang: bool,
     pub(crate) urge: Urge,
 }
 
-/// How far a call may go into the instances that are kept free of calls that take long.
+/// How many of the instances reserved for short calls a long call may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Urge {
-    /// Not at all.
+    /// None.
     Usual,
-    /// Not at all, before usual calls and for a part of all at most: the step has lacked a call for long.
+    /// None, but before usual calls and for a limited part of all instances: the step has long
+    /// lacked a call.
     Aged,
-    /// Half of them: a task that lasts has waited for long.
+    /// Half of them: a long-running task is overdue.
     Owed,
 }
 
-/// Whom a call is to name; nobody if none is worth it.
+/// The workers that a call is to name; empty if none is worth a call.
 pub(crate) struct Choice {
     workers: Vec<WorkerId>,
     /// Whether tasks could start on them as soon as they are allowed to.
     pub(crate) has_room: bool,
 }
 
-/// All advice that is known, and the calls under way.
+/// All known advice, and the calls in flight.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Desk {
     steps: BTreeMap<StepKey, StepAdvice>,
     calls: BTreeMap<u64, Asked>,
     helpers: BTreeSet<InstanceId>,
     busy: BTreeSet<InstanceId>,
-    /// How many instances are free to make calls in the plan under way. Counting them for each of hundreds of
-    /// steps would take as long as the rest of a plan.
+    /// How many instances are free to make calls in the current plan. Counting them for each of
+    /// hundreds of steps would take as long as the rest of a plan.
     free: usize,
-    /// How many instances are kept free of calls that take long.
+    /// How many instances are reserved for short calls.
     kept_free: usize,
     reserve: Reserve,
-    /// Whether steps wanted calls in the last plan that no instance was free to make.
+    /// Whether steps needed calls in the last plan that no instance was free to make.
     lacked_callers: bool,
-    /// Instances whose last call got no answer, and until when they make none.
+    /// The instances in backoff because their last call got no answer, with its end.
     resting: BTreeMap<InstanceId, Millis>,
     rates: BTreeMap<Name, Rate>,
     next_id: u64,
-    /// The steps that wait for room and that the plan under way looks at again as if they could start.
+    /// The steps waiting for capacity that the current plan re-examines as if they could start.
     again: BTreeSet<StepKey>,
-    /// When advice on steps that are not open yet is to be asked for.
+    /// When to request advice on steps that are not open yet.
     ahead: BTreeMap<StepKey, (Millis, OpenStep)>,
 }
 
-/// How far the numbers of calls of one term lie from those of the next; no term makes as many.
+/// The distance between the first call numbers of two consecutive terms. No term makes as many
+/// calls.
 const CALLS_A_TERM: u64 = 1 << 32;
 
 impl Desk {
-    /// Makes a desk without advice. Its calls have numbers of their own, since an instance that leads again may yet get
-    /// answers to what it asked in an earlier term.
+    /// Creates a scheduler without advice. The call numbers of each term are distinct, since an
+    /// instance that leads again may still get answers to calls of an earlier term.
     pub(crate) fn of_term(term: u64) -> Desk {
         Desk { next_id: term.wrapping_mul(CALLS_A_TERM), ..Desk::default() }
     }
 
-    /// Takes in which instances can make calls.
+    /// Sets the instances that can make calls.
     pub(crate) fn set_helpers(&mut self, helpers: BTreeSet<InstanceId>) {
         self.helpers = helpers;
     }
 
-    /// Gives the instances that are free to make a call.
+    /// Returns the instances that are free to make a call.
     fn free_helpers(&self, now: Millis) -> impl Iterator<Item = &InstanceId> {
         let rests = move |h: &InstanceId| self.resting.get(h).is_some_and(|until| now < *until);
         self.helpers.iter().filter(move |h| !self.busy.contains(*h) && !rests(h))
     }
 
-    /// Gives how many instances must be free for a call. The service takes the calls of an instance one after
-    /// the other, so some instances are kept free of calls that take long.
+    /// Returns how many instances must be free for a call to be made. The service processes the
+    /// calls of an instance one after the other, so some instances are reserved for short calls.
     fn fewest_free(&self, policy: &AdvicePolicy, urge: Urge) -> usize {
         match urge {
             _ if is_short(policy) => 1,
@@ -202,38 +205,38 @@
         }
     }
 
-    /// Tells whether the plan under way finds an instance free to make a call.
+    /// Returns whether an instance is free to make a call in the current plan.
     fn has_caller(&self, policy: &AdvicePolicy, urge: Urge) -> bool {
         let may_call = urge != Urge::Aged || self.aged_calls() * AGED_PART < self.helpers.len();
         may_call && self.free >= self.fewest_free(policy, urge)
     }
 
-    /// Gives how many calls are under way for steps that had lacked one for long.
+    /// Returns how many calls are in flight for steps that had long lacked one.
     fn aged_calls(&self) -> usize {
         self.calls.values().filter(|c| c.urge == Urge::Aged).count()
     }
 
-    /// Gives since when a step has wanted a call that no instance was free to make.
+    /// Returns since when a step has needed a call that no instance was free to make.
     pub(crate) fn lacks_since(&self, step: &StepKey) -> Option<Millis> {
         self.steps.get(step)?.lacks_since
     }
 
-    /// Notes that a step wants a call and that no instance is free to make it.
+    /// Records that a step needs a call and that no instance is free to make it.
     pub(crate) fn note_lack(&mut self, now: Millis, step: &StepKey) {
         self.steps.entry(*step).or_default().lacks_since.get_or_insert(now);
     }
 
-    /// Gives how many instances can make calls.
+    /// Returns how many instances can make calls.
     pub(crate) fn callers(&self) -> usize {
         self.helpers.len()
     }
 
-    /// Gives how many instances wait for an answer to a call.
+    /// Returns how many instances wait for the answer to a call.
     pub(crate) fn busy_callers(&self) -> usize {
         self.busy.len()
     }
 
-    /// Gives the workers that hold a usable ticket for a step.
+    /// Returns the workers with a usable ticket for a step, and the tickets.
     pub(crate) fn tickets(
         &self,
         step: &StepKey,
@@ -243,17 +246,17 @@
         known.filter(move |(_, t)| t.until > now + TICKET_MARGIN).map(|(w, t)| (w, &t.text))
     }
 
-    /// Gives the workers that are known not to be allowed.
+    /// Returns the workers that are known not to be allowed.
     pub(crate) fn barred(&self, step: &StepKey) -> Option<&BTreeSet<WorkerId>> {
         self.steps.get(step).map(|s| &s.barred)
     }
 
-    /// Tells whether a worker is known to be allowed, ticket or not.
+    /// Returns whether a worker is known to be allowed, with or without a ticket.
     pub(crate) fn is_allowed(&self, step: &StepKey, worker: &WorkerId) -> bool {
         self.steps.get(step).is_some_and(|s| s.allowed.contains(worker))
     }
 
-    /// Gives the workers that are known to be allowed, ticket or not.
+    /// Returns the workers that are known to be allowed, with or without a ticket.
     pub(crate) fn allowed(&self, step: &StepKey) -> impl Iterator<Item = &WorkerId> {
         self.steps.get(step).into_iter().flat_map(|s| &s.allowed)
     }
@@ -265,14 +268,14 @@
         }
     }
 
-    /// Notes that advice on a step will be needed.
+    /// Records that advice on a step will be needed.
     pub(crate) fn plan_ahead(&mut self, at: Millis, entry: OpenStep) {
         if !self.steps.contains_key(&entry.key) {
             self.ahead.entry(entry.key).or_insert((at, entry));
         }
     }
 
-    /// Gives the steps whose advice is due ahead of need, the most urgent first.
+    /// Returns the steps whose advice is due ahead of need, the most urgent first.
     pub(crate) fn due_ahead(&mut self, now: Millis) -> Vec<OpenStep> {
         let mut due: Vec<OpenStep> =
             self.ahead.values().filter(|(at, _)| *at <= now).map(|(_, e)| *e).collect();
@@ -280,18 +283,19 @@
         due
     }
 
-    /// Notes that a step needs no advice ahead any more.
+    /// Records that a step needs no advice ahead any more.
     pub(crate) fn forget_ahead(&mut self, step: &StepKey) {
         self.ahead.remove(step);
     }
 
-    /// Drops what is known about steps that no longer matter.
+    /// Drops what is known about steps that are no longer needed.
     pub(crate) fn retain(&mut self, matters: impl Fn(&StepKey) -> bool) {
         self.steps.retain(|k, _| matters(k));
         self.ahead.retain(|k, _| matters(k));
     }
 
-    /// Tells whether a call on a step could be made now, before anyone looks for prospects.
+    /// Returns whether a call on a step could be made now. It is checked before workers are
+    /// scanned.
     pub(crate) fn may_ask(
         &self,
         step: &StepKey,
@@ -302,7 +306,7 @@
         self.is_due(step, now) && self.has_caller(policy, urge)
     }
 
-    /// Tells whether a call on a step is due and no instance is free to make it.
+    /// Returns whether a call on a step is due and no instance is free to make it.
     pub(crate) fn lacks_caller(
         &self,
         step: &StepKey,
@@ -318,15 +322,15 @@
         !self.steps.get(step).is_some_and(waits)
     }
 
-    /// Tells whether a step waits for room, so that a call on it would let no task start.
+    /// Returns whether a step waits for capacity, so that a call on it would let no task start.
     pub(crate) fn waits_for_room(&self, step: &StepKey) -> bool {
         let waits = self.steps.get(step).is_some_and(|s| s.waiting.is_some());
         waits && !self.again.contains(step)
     }
 
-    /// Has some of these steps looked at again in the plan that begins: those that have waited for room the
-    /// longest since their last look, if a call on them could be made. Room may have come where they hold no
-    /// ticket.
+    /// Marks up to `most` of these steps for re-examination in the plan that begins: those waiting
+    /// for capacity whose last examination is the oldest, if a call on them could be made. Capacity
+    /// may have been freed where they hold no ticket.
     pub(crate) fn look_again<'a>(
         &mut self,
         now: Millis,
@@ -350,8 +354,8 @@
         self.again.extend(again);
     }
 
-    /// Begins a plan: no step is to be looked at again yet, and the instances that are free or to be kept free are
-    /// counted.
+    /// Begins a plan: clears the steps to re-examine, and counts the instances that are free and
+    /// those to reserve.
     pub(crate) fn begin_plan(&mut self, now: Millis, lacked_callers: bool) {
         self.again.clear();
         self.lacked_callers = lacked_callers;
@@ -359,7 +363,7 @@
         self.kept_free = self.reserve.kept(now, self.helpers.len());
     }
 
-    /// Notes that a step has no tasks left that wait.
+    /// Records that no tasks of a step are waiting any more.
     pub(crate) fn all_placed(&mut self, step: &StepKey) {
         if let Some(known) = self.steps.get_mut(step) {
             known.waiting = None;
@@ -367,13 +371,13 @@
         }
     }
 
-    /// Notes whether a task of a step that waits could start somewhere if it was allowed to.
+    /// Records whether a waiting task of a step could start somewhere if it was allowed to.
     pub(crate) fn note_room(&mut self, now: Millis, want: &Want<'_>, has_room: bool) {
         let waits = WaitForRoom { looked_at: now, policy: want.policy };
         self.steps.entry(want.step).or_default().waiting = (!has_room).then_some(waits);
     }
 
-    /// Chooses whom a call on a step is to name, if one is worth it.
+    /// Chooses the workers that a call on a step is to name, if one is worth it.
     pub(crate) fn choose(
         &mut self,
         now: Millis,
@@ -383,7 +387,7 @@
         let known = self.steps.entry(want.step).or_default();
         let fits = |p: &Prospect| p.fits.min(want.tasks);
         let room: u64 = prospects.iter().map(fits).sum();
-        // Tickets are renewed while they hold, so that room that comes is used at once.
+        // Tickets are renewed before they expire, so that freed capacity is used immediately.
         let renewal = Millis(cost_ms(&want.policy, known.allowed.len()) as u64) + TICKET_MARGIN;
         let fresh = |w: &WorkerId| known.tickets.get(w).is_some_and(|t| t.until > now + renewal);
         let open: Vec<Prospect> = prospects
@@ -400,7 +404,7 @@
         Choice { workers, has_room }
     }
 
-    /// Makes a call if one may be made now and an instance is free for it.
+    /// Starts a call if one is due and an instance is free to make it.
     pub(crate) fn call(
         &mut self,
         now: Millis,
@@ -438,7 +442,8 @@
         Some(AdviceAsk { id, helper, step: want.step, workers })
     }
 
-    /// Takes in the answer to a call; `None` if there was none. Gives whether it was awaited.
+    /// Processes the answer to a call; `None` if there was none. Returns whether the call was in
+    /// flight.
     pub(crate) fn answered(
         &mut self,
         now: Millis,
@@ -459,7 +464,7 @@
         };
         self.resting.remove(&call.helper);
         let rate = self.rates.entry(call.queue).or_insert(Rate { allowed: 1.0, asked: 2.0 });
-        // The past fades, so that the rate follows a policy that changes.
+        // The past decays, so that the rate follows a policy that changes.
         rate.allowed = rate.allowed * 0.9 + allowed.len() as f64;
         rate.asked = rate.asked * 0.9 + call.workers.len() as f64;
         known.barred.extend(call.workers);
@@ -472,7 +477,8 @@
         true
     }
 
-    /// Has somebody else asked where a call takes too long, and drops it once no answer can come.
+    /// Lets another instance be asked where a call takes too long, and drops a call once no answer
+    /// can arrive.
     pub(crate) fn expire(&mut self, now: Millis) {
         let mut gone = Vec::new();
         for (id, call) in &mut self.calls {
@@ -495,15 +501,17 @@
     }
 }
 
-/// Chooses whom to name: those with room, the ones known to be allowed first, until the tasks probably
-/// find enough of it; where they do not, also those that are full now.
+/// Chooses the workers that a call names: those with free capacity, the ones known to be allowed
+/// first, until the tasks probably find enough of it; where they do not, also workers that are full
+/// now.
 fn choose(
     want: &Want<'_>,
     mut open: Vec<Prospect>,
     (allowed, rate): (&BTreeSet<WorkerId>, f64),
     lacked_callers: bool,
 ) -> Vec<WorkerId> {
-    // Looking up who is allowed at each comparison would cost more than the sort.
+    // Caching the key avoids looking up who is allowed at each comparison, which would cost more
+    // than the sort.
     open.sort_by_cached_key(|p| {
         (p.fits == 0, !allowed.contains(&p.worker), std::cmp::Reverse(p.fits))
     });
--- a/components/dispatch/src/aging.rs
+++ b/components/dispatch/src/aging.rs
@@ -1,8 +1,10 @@
-//! Calls for advice for steps that have lacked one for long while workers that may run them stand half empty.
+//! Calls for advice for steps that have long lacked one while workers that may run them are half
+//! empty.
 //!
-//! Load pattern: a backlog of urgent steps takes every call for advice that takes long, for as long as it lasts, and all of them
-//! lead to starts. A less urgent step that few workers may run gets none meanwhile, and those workers stand idle where the
-//! urgent steps may not use them. Such steps go first, a few at a time.
+//! Load pattern: a backlog of urgent steps takes every long call for advice, for as long as it
+//! lasts, and all of them lead to starts. A less urgent step that few workers may run gets none
+//! meanwhile, and those workers are idle where the urgent steps may not use them. Such steps are
+//! placed first, a few at a time.
 
 use clock::Millis;
 use model::{Dimension, Size};
@@ -16,14 +18,15 @@
 use crate::standing::Reach;
 use crate::view::View;
 
-/// Tells whether half or more of each thing is free that there is at all.
+/// Returns whether at least half of each resource is free.
 fn is_half_empty(capacity: &Size, used: &Size) -> bool {
     let half = |d: &Dimension| used.get(*d) * 2 <= capacity.get(*d);
     Dimension::ALL.iter().all(half)
 }
 
 impl Dispatcher {
-    /// Gives the steps that have lacked a call for longest, of those for which a half-empty worker has room.
+    /// Returns the steps that have lacked a call for the longest time, of those for which a
+    /// half-empty worker has capacity.
     pub(crate) fn aged_steps<'a>(
         &mut self,
         m: Moment,
@@ -36,7 +39,7 @@
             return Vec::new();
         }
         aged.sort_unstable();
-        // Each in turn, as those that find no room stay among the first.
+        // The steps rotate, because those that find no capacity stay among the first.
         let first = self.aged_turn % aged.len();
         aged.rotate_left(first);
         aged.truncate(MOST_LOOKS_AT_AGED);
@@ -56,7 +59,8 @@
         workers.filter(|(w, _)| is_half_empty(&w.info.capacity, &w.used)).collect()
     }
 
-    /// Tells whether tasks of a step could start on one of some workers, as far as it is known who may run it.
+    /// Returns whether tasks of a step could start on one of some workers, unless these are known
+    /// not to be allowed.
     fn has_room_on(&self, m: Moment, entry: &OpenStep, workers: &[(&Worker, &View)]) -> bool {
         let key = &entry.key;
         let Some(job) = self.book.job(key.job) else { return false };
@@ -71,7 +75,8 @@
         workers.iter().any(takes)
     }
 
-    /// Has steps looked at in the plan that begins as if they could start, with a right to a call.
+    /// Marks steps for re-examination in the plan that begins, as if they could start and with a
+    /// claim to a call.
     pub(crate) fn favour_aged(&mut self, m: Moment, aged: &[OpenStep]) {
         self.desk.look_again(m.now, Urge::Aged, aged.iter().map(|e| &e.key), aged.len());
     }
--- a/components/dispatch/src/asking.rs
+++ b/components/dispatch/src/asking.rs
@@ -1,9 +1,10 @@
-//! Asking for advice: which of the steps that wait may have one of the calls there are.
+//! Requests for advice: which of the waiting steps get one of the available calls.
 //!
-//! Load pattern: a backlog of urgent steps waits for workers that are full, and each would have its tickets
-//! renewed for as long as it waits, while the workers of a less urgent step are free. Calls take half a second
-//! and an instance makes one at a time, so forty such steps use up a fleet of thirteen. So a call goes first
-//! to steps of which a task could start, and only then to those that wait for room.
+//! Load pattern: a backlog of urgent steps waits for workers that are full, and each would have its
+//! tickets renewed for as long as it waits, while the workers of a less urgent step are free. Calls
+//! take half a second and an instance makes one at a time, so forty such steps use up a fleet of
+//! thirteen instances. So calls go first to steps of which a task could start, and only then to
+//! those that wait for capacity.
 
 use std::sync::Arc;
 
@@ -21,23 +22,23 @@
 use crate::seats::{fits, most_more};
 use crate::standing::Reach;
 
-/// For what part of a ticket's time advice on a step may come before the step is likely to open.
-/// Declared run times are often too long, and advice that comes too early costs another call, while
-/// advice that comes too late costs its whole time.
+/// The part of a ticket's validity by which advice on a step may arrive before the step is likely
+/// to open. Declared run times are often too long. Advice that arrives too early costs another
+/// call, and advice that arrives too late delays the step by the whole time of the call.
 const ADVICE_LEAD: f64 = 0.5;
 
-/// A step whose tasks wait for leave to run somewhere.
+/// A step whose tasks wait for permission to run somewhere.
 pub(crate) struct Need {
     pub(crate) key: StepKey,
     pub(crate) queue: Name,
     pub(crate) policy: AdvicePolicy,
-    /// What the step's job asks for.
+    /// The specification of the step's job.
     pub(crate) job: Arc<JobSpec>,
     /// How many tasks wait, or will.
     pub(crate) tasks: u64,
-    /// Which workers may be named.
+    /// The workers that may be named.
     pub(crate) reach: Reach,
-    /// How far it may go into the instances that are kept free.
+    /// How many of the reserved instances the call may use.
     pub(crate) urge: Urge,
 }
 
@@ -54,7 +55,7 @@
 }
 
 impl Dispatcher {
-    /// Notes when advice on the steps behind one that is fully placed will be needed.
+    /// Records when advice on the steps that depend on a fully placed one will be needed.
     pub(crate) fn look_ahead(&mut self, m: Moment, entry: OpenStep) {
         if !self.limits.mechanisms.asks_ahead {
             return;
@@ -96,15 +97,15 @@
         self.desk.forget_ahead(&key);
     }
 
-    /// Tells whether this plan may still look through all workers for some to ask about.
+    /// Returns whether this plan may still scan all workers for some to ask about.
     fn may_scan(&self, m: Moment, need: &Need) -> bool {
         let Need { key, policy, urge, .. } = need;
         self.plan_state.scans < MOST_SCANS && self.desk.may_ask(key, policy, *urge, m.now)
     }
 
-    /// Asks which workers may run a step, if tasks could start on some that are not known yet. Otherwise the
-    /// step is put back: steps that wait for room would use up all calls there are, however many workers are
-    /// free for the steps behind them.
+    /// Requests advice on a step if its tasks could start on workers that are not known yet.
+    /// Otherwise defers the step: steps that wait for capacity would use up all available calls,
+    /// however many workers are free for the steps behind them.
     pub(crate) fn ask(&mut self, m: Moment, need: Need) {
         let Need { key, policy, urge, .. } = &need;
         let lacks_caller = self.desk.lacks_caller(key, policy, *urge, m.now);
@@ -124,7 +125,7 @@
         }
         let choice = self.choose(m, &need);
         self.desk.note_room(m.now, &need.want(), choice.has_room);
-        // Room is kept for a task that has waited for long where it is known to be allowed.
+        // Capacity for an overdue task is reserved on workers that are known to allow it.
         let must_know = need.urge == Urge::Owed && self.desk.allowed(&need.key).next().is_none();
         match choice.has_room || must_know {
             true => self.call(m, &need, choice),
@@ -132,8 +133,8 @@
         }
     }
 
-    /// Has tickets at hand for steps that wait for room, the most urgent first, as far as the steps that
-    /// could start have left instances free to make calls.
+    /// Requests tickets for steps that wait for capacity, the most urgent first, with the calls
+    /// that the steps that could start have left.
     pub(crate) fn ask_for_waiting(&mut self, m: Moment) {
         for (need, choice) in std::mem::take(&mut self.plan_state.put_back) {
             let choice = match choice {
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Gives how far a call on a step may go into the instances that are kept free.
+    /// Returns how many of the reserved instances a call on a step may use.
     pub(crate) fn urge(turn: Turn) -> Urge {
         match turn {
             Turn::Owed => Urge::Owed,
@@ -167,8 +168,8 @@
         self.act(Action::Ask(ask));
     }
 
-    /// Gives the workers to choose from whom to ask about. Both maps are gone through side by side: looking
-    /// each of 1,100 workers up in them, 250 times a second, took most of a plan's time.
+    /// Returns the workers that a call may name. Iterates over both maps in parallel: looking up
+    /// each of 1,100 workers in them, 250 times a second, took most of a plan's time.
     fn prospects(&self, m: Moment, need: &Need) -> Vec<Prospect> {
         let (key, spec) = (&need.key, need.spec());
         let Some(job) = self.book.job(key.job) else { return Vec::new() };
--- a/components/dispatch/src/reserve.rs
+++ b/components/dispatch/src/reserve.rs
@@ -1,30 +1,33 @@
-//! How many instances are kept free of calls for advice that take long.
+//! The number of instances reserved for short calls for advice.
 //!
-//! Load pattern: hundreds of batch steps wait for calls of half a second each, and quick steps come in bursts whose
-//! calls are over in some ten milliseconds. Without instances kept free a quick step waits for a long call to end;
-//! with more kept free than quick steps use, workers stand idle while batch steps wait for a call.
+//! Load pattern: hundreds of batch steps wait for calls of half a second each, and quick steps
+//! arrive in bursts whose calls take some ten milliseconds. Without reserved instances a quick step
+//! waits for a long call to end; with more reserved than quick steps use, workers are idle while
+//! batch steps wait for a call.
 
 use std::f64::consts::LN_2;
 
 use clock::Millis;
 
-/// At most one of so many instances is kept free.
+/// The divisor for the maximum: at most one in this many instances is reserved.
 const MOST_KEPT_ONE_IN: usize = 3;
-/// At least one of so many is kept free, so that there is one for a burst that nothing announces.
+/// The divisor for the minimum: at least one in this many instances is reserved, so that one is
+/// free for an unexpected burst.
 const LEAST_KEPT_ONE_IN: usize = 8;
-/// How many instances are kept free for each one that short calls keep busy on average: they come in bursts.
+/// How many instances are reserved per instance that short calls keep busy on average, because such
+/// calls arrive in bursts.
 const KEPT_A_BUSY: f64 = 2.0;
-/// After what time a call counts half in that average.
+/// The half-life of a call in that average.
 const HALF_AFTER: Millis = Millis(2_000);
 
-/// How many instances short calls kept busy of late.
+/// The number of instances that short calls recently kept busy.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Reserve {
-    /// `None` before anything is known.
+    /// `None` before any load is known.
     load: Option<Load>,
 }
 
-/// The time that calls took, each the less the longer ago it was made.
+/// The time that calls took, decaying with their age.
 #[derive(Clone, Copy, Debug)]
 struct Load {
     ms: f64,
@@ -32,7 +35,7 @@
 }
 
 impl Load {
-    /// Gives the load of so many busy instances.
+    /// Returns the load that corresponds to so many busy instances.
     fn of_busy(busy: f64, now: Millis) -> Load {
         Load { ms: busy * HALF_AFTER.0 as f64 / LN_2, at: now }
     }
@@ -42,21 +45,21 @@
         self.ms * 0.5_f64.powf(halves)
     }
 
-    /// Gives how many instances it keeps busy on average.
+    /// Returns how many instances the load keeps busy on average.
     fn busy(&self, now: Millis) -> f64 {
         self.faded_ms(now) * LN_2 / HALF_AFTER.0 as f64
     }
 }
 
 impl Reserve {
-    /// Notes that a short call is made that takes so long.
+    /// Records a short call that is made and takes so long.
     pub(crate) fn note(&mut self, now: Millis, takes_ms: f64) {
         let before = self.load.map_or(0.0, |load| load.faded_ms(now));
         self.load = Some(Load { ms: before + takes_ms, at: now });
     }
 
-    /// Gives how many of so many instances are kept free. A new leader keeps the most, until it has seen how many
-    /// calls there are.
+    /// Returns how many of so many instances are reserved. A new leader reserves the maximum until
+    /// it has observed how many calls there are.
     pub(crate) fn kept(&mut self, now: Millis, instances: usize) -> usize {
         let most = instances / MOST_KEPT_ONE_IN;
         let least = instances / LEAST_KEPT_ONE_IN;
