--- a/components/dispatch/src/causes.rs
+++ b/components/dispatch/src/causes.rs
@@ -1,6 +1,6 @@
-//! What stands against each worker as a place for a task, so that it can be told why a task waits.
+//! Reasons why a task waits: for each worker, what prevents the task from being placed there.
 //!
-//! This decides nothing: it repeats in words what placing goes by.
+//! Nothing is decided here; the checks repeat those of placement for the log.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -12,39 +12,40 @@
 use crate::seats::most_more;
 use crate::view::View;
 
-/// What stands against a worker. Each worker counts once, by the first of these that holds for it, so whatever
-/// stands behind a cause tells of workers that nothing before it stands against: first what lasts, then the
-/// worker's own state, then its room, then leave to run there. A worker that is set aside or slow takes a task
-/// that has waited for so long, so that is no cause.
+/// The reason why a worker does not take a task. Each worker counts once, under the first reason
+/// that applies, so a later reason counts only workers that no earlier one applies to: first what
+/// does not change, then the worker's own state, then its capacity, then the permission to run
+/// there. A quarantined or slow worker takes a task that has waited for so long, so neither is a
+/// reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Cause {
-    /// It lacks the label that the step asks for.
+    /// The worker lacks the label that the step requires.
     Unlabelled,
-    /// The advice service does not allow it.
+    /// The advice service does not allow the worker.
     NotAllowed,
-    /// Empty it would have no room for the task.
+    /// The task would not fit even if the worker was empty.
     TooSmall,
-    /// It said that it is leaving.
+    /// The worker has announced that it is leaving.
     Leaving,
-    /// It does not answer, or its zone has just fallen silent.
+    /// The worker does not answer, or its zone has just fallen silent.
     Silent,
-    /// It has just refused a start, or nothing could be sent there.
+    /// The worker is in backoff: it has just refused a start, or nothing could be sent there.
     Resting,
-    /// It runs fillers where the task has a target latency, or the other way round.
+    /// The worker runs fillers where the task has a target latency, or the other way round.
     Mixed,
-    /// It runs as many tasks of the step as one worker may.
+    /// The worker runs as many tasks of the step as one worker may.
     Crowded,
-    /// It has no room for the task.
+    /// The task does not fit into the free capacity.
     Full,
-    /// It has room, which is kept free for others.
+    /// The task would fit, but the capacity is reserved for others.
     Kept,
-    /// Workers have crashed under the task, and it may not run beside the young suspects there.
+    /// The task is a crash suspect and may not run beside the young suspects there.
     Suspects,
-    /// Nobody has asked yet whether it is allowed.
+    /// Whether the worker is allowed has not been asked yet.
     Unknown,
-    /// It is allowed, but the leave to run there has run out or was used.
+    /// The worker is allowed, but the ticket has expired or was used.
     NoTicket,
-    /// A run of the task failed there or was moved off it. It may go there all the same.
+    /// A run of the task failed there or was moved away. The task may go there all the same.
     Avoided,
 }
 
@@ -69,11 +70,11 @@
     }
 }
 
-/// How many workers of a task's service there are, and what stands against them.
+/// The number of workers of a task's service, and the reasons why they do not take it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Causes {
     workers: u64,
-    /// Those that nothing stands against.
+    /// The workers without any reason.
     fit: u64,
     against: BTreeMap<Cause, u64>,
 }
@@ -88,7 +89,7 @@
     }
 }
 
-/// Causes that hold for no worker are left out.
+/// Formats the counts as log fields. Reasons that apply to no worker are left out.
 impl fmt::Display for Causes {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "workers={} fit={}", self.workers, self.fit)?;
@@ -96,17 +97,17 @@
     }
 }
 
-/// A task that waits, with what is the same for all workers.
+/// A waiting task, with what is the same for all workers.
 struct Sought<'a> {
     task: TaskKey,
     spec: &'a StepSpec,
-    /// The workers that it has leave to run on; `None` if it needs none.
+    /// The workers that it has a ticket for; `None` if it needs none.
     tickets: Option<BTreeSet<&'a WorkerId>>,
     avoid: Option<&'a BTreeSet<WorkerId>>,
 }
 
 impl Dispatcher {
-    /// Counts what stands against the workers of a task's service. Looks at all workers.
+    /// Counts the reasons why the workers of a task's service do not take it. Examines all workers.
     pub(crate) fn causes(&self, m: Moment, task: TaskKey) -> Causes {
         let mut causes = Causes::default();
         let key = &task.step;
@@ -123,7 +124,7 @@
         causes
     }
 
-    /// Gives the first cause that holds for a worker.
+    /// Returns the first reason that applies to a worker.
     fn cause(&self, m: Moment, sought: &Sought<'_>, worker: &Worker, view: &View) -> Option<Cause> {
         let lasting = self.lasting_cause(sought, worker);
         let state = || self.state_cause(m, worker, view);
@@ -131,7 +132,7 @@
         lasting.or_else(state).or_else(room).or_else(|| self.leave_cause(sought, worker))
     }
 
-    /// Gives what stands against a worker for as long as the task waits.
+    /// Returns a reason that applies for as long as the task waits.
     fn lasting_cause(&self, sought: &Sought<'_>, worker: &Worker) -> Option<Cause> {
         let (spec, info) = (sought.spec, &worker.info);
         if spec.constraint.as_ref().is_some_and(|l| !info.labels.contains(l)) {
@@ -148,7 +149,7 @@
         sought.tickets.is_some() && barred.is_some_and(|b| b.contains(id))
     }
 
-    /// Gives what stands against a worker whatever is to run there.
+    /// Returns a reason in the worker's state, whatever is to run there.
     fn state_cause(&self, m: Moment, worker: &Worker, view: &View) -> Option<Cause> {
         let silent = !view.in_contact || view.silent_since.is_some();
         if view.leaving {
@@ -160,7 +161,7 @@
         view.record.rests(m.now).then_some(Cause::Resting)
     }
 
-    /// Gives what runs on a worker, or may soon, and leaves no place for the task.
+    /// Returns a reason in what runs on the worker, or may soon.
     fn room_cause(&self, sought: &Sought<'_>, worker: &Worker) -> Option<Cause> {
         let Sought { task, spec, .. } = sought;
         let id = &worker.info.id;
@@ -180,7 +181,8 @@
         (!suspects.admit(self.suspicion(task))).then_some(Cause::Suspects)
     }
 
-    /// Gives what is not known of a worker, or speaks against it without ruling it out.
+    /// Returns a missing permission, or a reason that makes the worker less suitable without ruling
+    /// it out.
     fn leave_cause(&self, sought: &Sought<'_>, worker: &Worker) -> Option<Cause> {
         let Sought { task, tickets, avoid, .. } = sought;
         let id = &worker.info.id;
--- a/components/dispatch/src/plan_state.rs
+++ b/components/dispatch/src/plan_state.rs
@@ -1,4 +1,4 @@
-//! What one plan goes through and keeps free: the state that the parts of a plan share, and that the next one begins anew.
+//! The state that the parts of one plan share, which the next plan resets.
 
 use std::collections::BTreeMap;
 
@@ -10,33 +10,33 @@
 use crate::room::{Kept, Sought};
 use crate::suspects::YoungSuspects;
 
-/// The plan under way, or the last one.
+/// The current plan, or the last one.
 #[derive(Default)]
 pub(crate) struct PlanState {
-    /// What it has taken so far, in looks at a worker.
+    /// The cost so far, in workers examined.
     pub(crate) looks: u64,
-    /// For how many steps it looked through all workers for some to ask about.
+    /// The number of steps for which the plan scanned all workers for some to ask about.
     pub(crate) scans: u32,
-    /// How many steps wanted a call for advice and found no instance free to make it.
+    /// The number of steps that needed a call for advice and found no instance free to make it.
     pub(crate) without_caller: u64,
-    /// For how many steps it had no look left to find out whether a task could start.
+    /// The number of steps for which no scan was left to find out whether a task could start.
     pub(crate) without_look: u64,
-    /// What it keeps free on workers for large tasks that wait.
+    /// The capacity reserved on workers for waiting large tasks.
     pub(crate) kept_free: BTreeMap<WorkerId, Size>,
-    /// What it keeps free in all, by which workers that is sought on.
+    /// The total reserved capacity, by the set of eligible workers.
     pub(crate) rooms_made: BTreeMap<Sought, Kept>,
-    /// The steps that want advice and wait for room, with whom a call would name if that was looked up, the
-    /// most urgent first.
+    /// The steps that need advice and wait for capacity, the most urgent first, with the workers
+    /// that a call would name if these were determined.
     pub(crate) put_back: Vec<(Need, Option<Choice>)>,
-    /// Whether any worker that could take work is spared.
+    /// Whether any worker that could take work is deprioritised or on probation.
     pub(crate) spares_any: bool,
-    /// The suspects that run young on workers, where there are any.
+    /// The young suspects on workers that run any.
     pub(crate) young_suspects: BTreeMap<WorkerId, YoungSuspects>,
 }
 
 impl PlanState {
-    /// Begins a plan that has taken so many looks to choose what it looks at. Which workers are spared and which suspects
-    /// are young is found out anew by whoever judges that.
+    /// Resets the state for a plan that has examined so many workers to choose its steps. Which
+    /// workers are deprioritised and which suspects are young is kept until it is determined anew.
     pub(crate) fn begin(&mut self, looks: u64) {
         self.looks = looks;
         self.scans = 0;
--- a/components/dispatch/src/slack.rs
+++ b/components/dispatch/src/slack.rs
@@ -1,4 +1,4 @@
-//! How much time a job has to spare before it is late.
+//! Slack: how much time a job has left before it is late.
 
 use clock::Millis;
 use workload::{Job, OpenStep, StepKey};
@@ -8,9 +8,9 @@
 use crate::limits::LAST_CALL;
 
 impl Dispatcher {
-    /// Gives for how long a job's round may yet stand still and be in time, by declared run times. Steps
-    /// that are under way count whole, since their progress may be lost. A job whose queue is not
-    /// configured any more has nothing to spare.
+    /// Returns how long a job's round may make no progress and still be in time, by declared run
+    /// times. Steps in progress count whole, since their progress may be lost. A job whose queue is
+    /// no longer configured has no slack.
     pub(crate) fn slack(&self, m: Moment, key: &StepKey) -> Millis {
         let Some(job) = self.book.job(key.job) else { return Millis::ZERO };
         let Some(allowed) = self.allowed(job) else { return Millis::ZERO };
@@ -19,8 +19,9 @@
         allowed.since(self.age(m, key, job) + left)
     }
 
-    /// Gives how long a round of a job could have run for. Its acceptance is taken by the clock that
-    /// never jumps: wall clocks jump by minutes, and every job would seem late, or none.
+    /// Returns how long a round of a job could have run for. The acceptance of a job is taken by
+    /// the monotonic clock: wall clocks jump by minutes, after which every job would seem late, or
+    /// none.
     fn age(&self, m: Moment, key: &StepKey, job: &Job) -> Millis {
         match (job.spec.rounds, self.accepted.get(&key.job)) {
             (0, Some(at)) => m.now.since(*at),
@@ -29,15 +30,15 @@
         }
     }
 
-    /// Gives how long a round of a job may take and be in time.
+    /// Returns how long a round of a job may take and be in time.
     fn allowed(&self, job: &Job) -> Option<Millis> {
         let queue = self.policy.as_ref()?.queue(&job.queue)?;
         let chain = job.spec.longest_chain(|_| true);
         Some(Millis((chain.0 as f64 * queue.stretch) as u64) + queue.target_latency)
     }
 
-    /// Gives the place of a step among those that wait, the first to be served the least: the most urgent
-    /// priority by itself, then what must start soon to be in time, then the rest by priority.
+    /// Returns the sort key of a waiting step, lowest first: the most urgent priority by itself,
+    /// then steps that must start soon to be in time, then the rest by priority.
     pub(crate) fn urgency(&self, m: Moment, entry: &OpenStep) -> (u8, Millis, u64) {
         if entry.priority == 0 || !self.limits.mechanisms.heeds_slack {
             return (entry.priority, Millis::ZERO, entry.order);
--- a/components/dispatch/src/standing.rs
+++ b/components/dispatch/src/standing.rs
@@ -1,12 +1,13 @@
-//! Which workers are spared, and when they are used all the same.
+//! Worker health: which workers are deprioritised, and when they are used all the same.
 //!
-//! A worker that fails what it runs, that was slow, or whose availability zone has just fallen silent gets no
-//! new work for a while. Load patterns: every worker fails for some seconds, for a reason that all share; jobs
-//! that can never be done fail wherever they run; the few workers that a step may use are the ones that fail.
-//! In each of them workers that are judged one by one add up to all that some work could use, and it waits
-//! beside free room. So three things hold. A worker is set aside only if it stands out among the others, and at
-//! most a part of them is. One that has stood aside is given one run at a time until one comes out well. And to be
-//! spared is a preference: it ends where nothing else is left.
+//! A worker that fails what it runs, that was slow, or whose availability zone has just fallen
+//! silent gets no new work for a while. Load patterns: every worker fails for some seconds, for a
+//! reason common to all; jobs that can never succeed fail wherever they run; the few workers that a
+//! step may use are the ones that fail. In each of them workers that are judged one by one add up
+//! to all that some work could use, and it waits beside free capacity. So three rules apply. A
+//! worker is quarantined only if it stands out among the others, and at most a part of them is. One
+//! that has been quarantined is on probation: it gets one run at a time until one succeeds. And
+//! deprioritising a worker is a preference, which ends where no other worker is left.
 //! docs/design/platform.md, "Workers that are spared".
 
 use std::collections::BTreeSet;
@@ -26,24 +27,27 @@
 use crate::place::Turn;
 use crate::view::{Stage, View};
 
-/// For how long a single failure weighs against its worker: a few tries of a quick task elsewhere.
+/// How long a single failure counts against its worker: the time of a few tries of a quick task
+/// elsewhere.
 const SINGLE_FAIL_WEIGHS: Millis = Millis(1_000);
-/// How many times the failed tasks of the average among the others must be there for a worker to stand out. With 2, up
-/// to 15 of 48 good workers get no work for three seconds where a tenth of the quick jobs can never be done.
+/// The factor by which a worker's failed tasks must exceed the average of the others for the worker
+/// to stand out. With 2, up to 15 of 48 healthy workers get no work for three seconds where a tenth
+/// of the quick jobs can never succeed.
 const STANDS_OUT: usize = 4;
-/// From how many failed jobs on, without a run done between them, a worker is set aside however the others fare.
+/// The number of failed jobs, without a successful run between them, from which a worker is
+/// quarantined regardless of the others.
 const JOBS_TO_BE_SURE: usize = 4;
 
-/// How a worker's last runs ended, and what follows.
+/// How a worker's last runs ended, and the resulting restrictions.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Record {
-    /// The tasks of which runs have failed since the last one that was done.
+    /// The tasks of which runs have failed since the last successful one.
     failed: BTreeSet<TaskKey>,
     first_failed_at: Millis,
     failed_at: Millis,
-    /// When it was last set aside.
+    /// When the worker was last quarantined.
     judged_at: Millis,
-    /// How often it was, since the last run that was done.
+    /// How often it was quarantined since the last successful run.
     times: u32,
     aside_until: Millis,
     slow_until: Millis,
@@ -51,8 +55,9 @@
 }
 
 impl Record {
-    /// Notes that a run came out well that began at some time. One that was there before the others failed says
-    /// nothing about what the worker does with new ones: it would be trusted, and fail them, again and again.
+    /// Records that a run that began at `began` succeeded. A run that was there before the others
+    /// failed does not show how the worker handles new ones: the worker would be trusted and fail
+    /// them, again and again.
     pub(crate) fn note_done(&mut self, now: Millis, began: Millis) {
         let old = !self.failed.is_empty() && began <= self.first_failed_at;
         if old || (self.times > 0 && began <= self.judged_at) {
@@ -63,14 +68,14 @@
         self.aside_until = self.aside_until.min(now);
     }
 
-    /// Notes a failed run; tells whether the worker is to be set aside.
+    /// Records a failed run. Returns whether the worker is to be quarantined.
     pub(crate) fn note_failed(&mut self, now: Millis, task: TaskKey, began: Millis) -> bool {
-        // Runs that were there together when a worker was set aside are one piece of evidence.
+        // Runs that were there together when the worker was quarantined are one piece of evidence.
         if self.judged_at > Millis::ZERO && began <= self.judged_at {
             return false;
         }
-        // Where all that runs lasts, nothing is ever done. Without this two failures that lie long apart would
-        // set a good worker aside.
+        // Where all runs are long-running, none ever succeeds. Without this, two failures far apart
+        // would quarantine a healthy worker.
         if self.recent_fails(now) == 0 {
             self.failed.clear();
             self.times = 0;
@@ -83,7 +88,7 @@
         self.is_failing() && !self.is_aside(now)
     }
 
-    /// Gives of how many jobs the tasks are that have failed there. The tasks of a job are alike.
+    /// Returns the number of jobs whose tasks have failed there. The tasks of a job are alike.
     fn failed_jobs(&self) -> usize {
         let jobs: BTreeSet<JobId> = self.failed.iter().map(|t| t.step.job).collect();
         jobs.len()
@@ -93,7 +98,7 @@
         self.failed_jobs() >= FAILED_JOBS_IN_A_ROW
     }
 
-    /// Sets the worker aside, for longer each time; gives for how long.
+    /// Quarantines the worker, for longer each time. Returns for how long.
     fn set_aside(&mut self, now: Millis) -> Millis {
         let span = Millis(SET_ASIDE.0 << self.times.min(MOST_DOUBLINGS));
         self.times += 1;
@@ -102,23 +107,26 @@
         span
     }
 
-    /// Lets the worker rest: it has just refused a start, or nothing could be sent to it.
+    /// Puts the worker in backoff, because it has just refused a start or nothing could be sent to
+    /// it.
     pub(crate) fn rest(&mut self, until: Millis) {
         self.rests_until = self.rests_until.max(until);
     }
 
-    /// Spares the worker because it is slow.
+    /// Deprioritises the worker because it is slow.
     pub(crate) fn spare_as_slow(&mut self, until: Millis) {
         self.slow_until = self.slow_until.max(until);
     }
 
-    /// Gives of how many jobs runs have failed since the last one that was done, if one has failed lately.
+    /// Returns the number of jobs with failed runs since the last successful one, or 0 if none has
+    /// failed recently.
     pub(crate) fn recent_fails(&self, now: Millis) -> u32 {
         let lately = now.since(self.failed_at.max(self.aside_until)) < FAILS_FADE;
         if lately { self.failed_jobs() as u32 } else { 0 }
     }
 
-    /// Gives how many tasks have failed there since a run was done, if one has lately.
+    /// Returns the number of tasks that have failed there since a run succeeded, or 0 if none has
+    /// failed recently.
     fn recent_tasks(&self, now: Millis) -> usize {
         if self.recent_fails(now) > 0 { self.failed.len() } else { 0 }
     }
@@ -127,13 +135,14 @@
         !self.failed.is_empty()
     }
 
-    /// Tells whether anything that failed there did so before some time, and nothing since.
+    /// Returns whether some task has failed there, and none at or after `at`.
     fn has_failed_before(&self, at: Millis) -> bool {
         self.has_failed() && self.failed_at < at
     }
 
-    /// Gives how many failures weigh against the worker where tasks choose among several: a single one only for a
-    /// moment, since one that is passed over for it has no run to show that it is well.
+    /// Returns how many failures count against the worker where tasks choose among several. A
+    /// single one counts only for a moment, since a worker that is passed over for it has no run to
+    /// show that it is healthy.
     pub(crate) fn weight(&self, now: Millis) -> u32 {
         match self.recent_fails(now) {
             1 if now.since(self.failed_at) >= SINGLE_FAIL_WEIGHS => 0,
@@ -141,30 +150,33 @@
         }
     }
 
-    /// Tells whether it is set aside for what failed there.
+    /// Returns whether the worker is quarantined for failures.
     pub(crate) fn is_aside(&self, now: Millis) -> bool {
         now < self.aside_until
     }
 
-    /// Tells whether it is spared because it is slow.
+    /// Returns whether the worker is deprioritised as slow.
     pub(crate) fn is_slow(&self, now: Millis) -> bool {
         now < self.slow_until
     }
 
-    /// Tells whether it rests after a refusal.
+    /// Returns whether the worker is in backoff.
     pub(crate) fn rests(&self, now: Millis) -> bool {
         now < self.rests_until
     }
 
-    /// Tells whether the worker has stood aside and nothing has come out well there since.
+    /// Returns whether the worker is on probation: it was quarantined, and no run has succeeded
+    /// there since.
     pub(crate) fn is_on_trial(&self, now: Millis) -> bool {
         self.times > 0 && self.recent_fails(now) > 0
     }
 
-    /// Tells whether a worker on trial, where a run began at some time last, may have another try.
+    /// Returns whether a worker on probation may have another try if its last run began at
+    /// `last_began`.
     fn may_try(&self, now: Millis, last_began: Option<Millis>) -> bool {
         let rested = now.since(self.failed_at) >= TRY_AGAIN;
-        // A try that has lived for a while is no reason to wait: it may take as long as it likes.
+        // A try that has survived for a while does not block the next one, as it may run for any
+        // time.
         let is_over = |at: Millis| at <= self.judged_at || now.since(at) >= YOUNG_RUN;
         rested && last_began.is_none_or(is_over)
     }
@@ -173,54 +185,56 @@
 /// How the other workers of a service fare.
 #[derive(Clone, Copy, Debug, Default)]
 struct Peers {
-    /// How many are set aside.
+    /// How many are quarantined.
     aside: usize,
-    /// How many are not.
+    /// How many are not quarantined.
     used: usize,
-    /// How many tasks have failed lately on those, in all.
+    /// How many tasks have recently failed on those, in total.
     failed_tasks: usize,
 }
 
 impl Peers {
-    /// Tells whether one more worker may be set aside.
+    /// Returns whether one more worker may be quarantined.
     fn may_set_aside(&self) -> bool {
         let all = self.aside + self.used + 1;
         self.aside == 0 || (self.aside + 1) * MOST_ASIDE_PART <= all
     }
 
-    /// Tells whether they fare better than a worker on which so many tasks failed. Where jobs fail wherever they
-    /// run, or all workers for one reason, none stands out.
+    /// Returns whether they fare better than a worker on which so many tasks failed. Where jobs
+    /// fail wherever they run, or all workers fail for one reason, none stands out.
     fn fare_better(&self, failed_tasks: usize) -> bool {
         self.used == 0 || failed_tasks * self.used > self.failed_tasks * STANDS_OUT
     }
 }
 
-/// Which workers a step may go to.
+/// The workers that a step may go to, by their health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reach {
-    /// Those that are not spared; one that has stood aside gets one try at a time.
+    /// Those that are not deprioritised. One on probation gets one try at a time.
     Good,
-    /// Those that are spared, too; one that is set aside gets one try at a time.
+    /// Those that are deprioritised, too. One on probation, quarantined or not, gets one try at a time.
     Spared,
     /// All that can take work.
     All,
 }
 
 impl Dispatcher {
-    /// Takes in that a run was done on a worker.
+    /// Processes the success of a run on a worker.
     pub(crate) fn ran_well(&mut self, m: Moment, id: &WorkerId, began: Millis) {
         if let Some(view) = self.views.get_mut(id) {
             view.record.note_done(m.now, began);
         }
     }
 
-    /// Takes in that a run failed on a worker, which is set aside if that and others speak against it.
+    /// Processes the failure of a run on a worker, which is quarantined if this and other failures
+    /// indicate a fault.
     pub(crate) fn ran_badly(&mut self, m: Moment, id: &WorkerId, task: &TaskKey, began: Millis) {
         if !self.limits.mechanisms.sets_aside {
             return;
         }
         let lasts = self.book.step_spec(&task.step).is_some_and(|s| s.long_running);
-        // Tasks that last end at any time, and a worker that fails all it starts fails them at once.
+        // Long-running tasks end at any time, and a worker that fails all it starts fails them
+        // immediately.
         if lasts && m.now.since(began) >= YOUNG_RUN {
             return;
         }
@@ -230,7 +244,7 @@
         }
     }
 
-    /// Sets a worker aside, unless too many are already or the others fare no better.
+    /// Quarantines a worker, unless too many are already or the others fare no better.
     fn set_aside(&mut self, m: Moment, id: &WorkerId) {
         let Some(service) = self.book.worker(id).map(|w| w.info.service.clone()) else { return };
         let peers = self.peers_of(m, id, &service);
@@ -246,7 +260,7 @@
         self.note(&kinds::WORKER_FAILING, id, details);
     }
 
-    /// Gives how the other workers of a service that answer fare.
+    /// Returns how the other workers of a service that are in contact fare.
     fn peers_of(&self, m: Moment, id: &WorkerId, service: &Name) -> Peers {
         let mut peers = Peers::default();
         for (other, view) in self.views.iter().filter(|(other, v)| v.in_contact && *other != id) {
@@ -264,7 +278,8 @@
         peers
     }
 
-    /// Takes in that tasks that last are alive on a worker: they are never done, so this is what speaks for it.
+    /// Processes the report that long-running tasks are alive on a worker. They never finish, so
+    /// this is the evidence for its health.
     pub(crate) fn heed_lasting_runs(&mut self, m: Moment, id: &WorkerId, running: &[RunRow]) {
         if !self.views.get(id).is_some_and(|v| v.record.has_failed()) {
             return;
@@ -284,7 +299,7 @@
         }
     }
 
-    /// Tells whether a worker is spared.
+    /// Returns whether a worker is deprioritised.
     fn is_spared(&self, m: Moment, worker: &Worker, view: &View) -> bool {
         let record = &view.record;
         record.is_aside(m.now)
@@ -292,7 +307,7 @@
             || self.silent_zones.contains(&worker.info.zone)
     }
 
-    /// Tells whether a step may go to a worker, if that can take work at all.
+    /// Returns whether a step may go to a worker, by its health and contact.
     pub(crate) fn reaches(&self, m: Moment, reach: Reach, worker: &Worker, view: &View) -> bool {
         if !view.is_usable() || view.record.rests(m.now) {
             return false;
@@ -307,8 +322,9 @@
         }
     }
 
-    /// Finds out whether any worker is spared that could take work. A leader that reaches nobody yet would go through
-    /// all workers for every step that waits, and have no time left to take in their answers.
+    /// Determines whether any worker that could take work is deprioritised. If none is, plans need not
+    /// scan all workers for each step. Without this a leader that has no contact to any worker yet
+    /// would do so for every waiting step, and have no time left to process their answers.
     pub(crate) fn find_spared(&mut self, m: Moment) {
         let is_marked = |id: &WorkerId, view: &View| {
             let spared = |w: &Worker| self.is_spared(m, w, view);
@@ -318,9 +334,9 @@
         self.plan_state.spares_any = self.views.iter().any(spared);
     }
 
-    /// Gives which workers a step may go to. Those that are spared are left out only as long as there is one
-    /// among the others that may run the step, whatever room it has, and none of its tasks that last has waited
-    /// for long: a failed try costs such a task nothing.
+    /// Returns the workers that a step may go to. Deprioritised workers are excluded only while another
+    /// one may run the step, whatever capacity it has free, and none of the step's long-running
+    /// tasks is overdue: a failed try costs such a task nothing.
     pub(crate) fn reach(
         &self,
         m: Moment,
--- a/components/dispatch/src/wait_lines.rs
+++ b/components/dispatch/src/wait_lines.rs
@@ -1,4 +1,4 @@
-//! Telling of tasks that last and have waited for long, without flooding the log.
+//! Rate-limited logging of long-running tasks that have waited for long.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -11,23 +11,23 @@
 use crate::limits::{LONG_WAIT, MOST_WAIT_LINES, WAIT_TOLD_AGAIN};
 use crate::waits::LastingWaits;
 
-/// Over which time [`MOST_WAIT_LINES`] are counted.
+/// The time over which [`MOST_WAIT_LINES`] is counted.
 const A_SECOND: Millis = Millis(1_000);
 
-/// Which steps are told of, and when they were.
+/// Which waiting steps are logged, and when they were logged last.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WaitLines {
-    /// When a step was told of last.
+    /// When each step was last logged.
     told: BTreeMap<StepKey, Millis>,
-    /// When the lines of the last second were written.
+    /// When the log lines of the last second were written.
     lately: VecDeque<Millis>,
-    /// The steps that the plan under way is yet to tell of.
+    /// The steps that the current plan still has to log.
     due: BTreeSet<StepKey>,
 }
 
 impl WaitLines {
-    /// Chooses the steps that the plan that begins is to tell of: first those that were never told of or not for
-    /// longest, so that with more of them than lines each has its turn.
+    /// Chooses the steps that the plan that begins is to log: first those that were never logged or
+    /// not for the longest time, so that they rotate if there are more of them than lines.
     pub(crate) fn choose(&mut self, now: Millis, waits: &LastingWaits) {
         self.lately.retain(|at| now.since(*at) < A_SECOND);
         let told_lately = |at: &Millis| now.since(*at) < WAIT_TOLD_AGAIN;
@@ -50,8 +50,8 @@
 }
 
 impl Dispatcher {
-    /// Tells of a step that has waited for long, if it is to be told of now; `looked` says whether the plan under
-    /// way has come to it.
+    /// Logs that a step has waited for long, if it is due now; `looked` says whether the current
+    /// plan has reached the step.
     pub(crate) fn tell_wait(&mut self, m: Moment, key: &StepKey, looked: bool) {
         if !self.wait_lines.due.remove(key) {
             return;
@@ -77,14 +77,14 @@
         self.note(&kinds::TASK_WAITS, task, details);
     }
 
-    /// Gives how many tasks of a step are not held back as suspects.
+    /// Returns how many tasks of a step are not held back as suspects.
     fn may_start_of(&self, m: Moment, key: &StepKey, waiting: &[(TaskKey, Millis)]) -> usize {
         let Some(spec) = self.book.step_spec(key) else { return 0 };
         let waiting = waiting.iter().map(|(task, _)| task.index).collect();
         self.may_start(m, key, spec, waiting).len()
     }
 
-    /// Tells of the steps that the plan has not come to.
+    /// Logs the steps that the plan has not reached.
     pub(crate) fn tell_other_waits(&mut self, m: Moment) {
         for key in self.wait_lines.due.clone() {
             self.tell_wait(m, &key, false);
--- a/components/dispatch/src/waits.rs
+++ b/components/dispatch/src/waits.rs
@@ -1,7 +1,7 @@
-//! Since when tasks that last wait for a worker.
+//! Waiting times of long-running tasks.
 //!
-//! Plans go by this, and plans are many, so its cost follows what has changed and what waits: neither the other
-//! steps that wait nor the tasks that last and run are gone through.
+//! Plans use them, and there are many plans, so the cost of an update follows what has changed and
+//! what waits: other waiting steps and long-running tasks that run are not visited.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,40 +11,40 @@
 use crate::input::Moment;
 use crate::limits::{FIRST_RUN_PATIENCE, LASTING_PATIENCE};
 
-/// The tasks of one step that wait, by their place in the step.
+/// The waiting tasks of one step, by their index in the step.
 type Waiting = BTreeMap<u32, Wait>;
 
-/// How a task waits.
+/// The wait of one task.
 #[derive(Clone, Copy, Debug)]
 struct Wait {
     since: Millis,
-    /// Whether it has run before.
+    /// Whether the task has run before.
     has_run: bool,
 }
 
 impl Wait {
-    /// Gives from when on the task comes before other work.
+    /// Returns when the task becomes overdue.
     fn is_owed_from(&self) -> Millis {
         self.since + if self.has_run { LASTING_PATIENCE } else { FIRST_RUN_PATIENCE }
     }
 }
 
-/// Since when tasks of steps that last wait for a worker. A wait begins with the first plan that finds the task
-/// without a run, or as this leader takes over, and ends as the task is given to a worker. Rounds that are not
-/// due and steps that others hold back do not wait.
+/// Since when long-running tasks have waited for a worker. A wait begins with the first plan that
+/// finds the task without a run, or when this leader takes over, and ends when the task is assigned
+/// to a worker. Rounds that are not due and steps that other steps hold back do not wait.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LastingWaits {
-    /// The steps that last of jobs that go on, by their place in the job.
+    /// The long-running steps of unfinished jobs, by their index in the job.
     jobs: BTreeMap<JobId, Vec<u32>>,
-    /// Those of the jobs that are timed: a round becomes due without any change.
+    /// The jobs of these that have rounds: a round becomes due without any change.
     timed: BTreeSet<JobId>,
-    /// Those that have changed since the last update.
+    /// The jobs that have changed since the last update.
     changed: BTreeSet<JobId>,
     waiting: BTreeMap<StepKey, Waiting>,
 }
 
 impl LastingWaits {
-    /// Takes up a job that goes on, if any step of it lasts.
+    /// Adds an unfinished job, if any of its steps is long-running.
     pub(crate) fn add_job(&mut self, id: JobId, spec: &JobSpec) {
         let lasting = (0..).zip(&spec.steps).filter(|(_, s)| s.long_running);
         let steps: Vec<u32> = lasting.map(|(step, _)| step).collect();
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Notes which jobs a command changes; to be called before the book takes it in.
+    /// Records which jobs a command changes. Must be called before the command is applied to the
+    /// replicated state.
     pub(crate) fn note_change(&mut self, command: &Command, book: &Book) {
         match command {
             Command::Submit { id, spec, .. } => self.add_job(*id, spec),
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Finds out which tasks wait now, and drops the jobs that are over.
+    /// Determines which tasks wait now, and drops the jobs that have ended.
     pub(crate) fn update(&mut self, m: Moment, book: &Book) {
         let mut jobs = std::mem::take(&mut self.changed);
         jobs.extend(&self.timed);
@@ -135,40 +136,40 @@
         self.timed.remove(&id);
     }
 
-    /// Gives the task of a step that has waited longest, and since when.
+    /// Returns the task of a step that has waited longest, and since when.
     pub(crate) fn longest(&self, step: &StepKey) -> Option<(TaskKey, Millis)> {
         self.of_step(step).min_by_key(|(_, since)| *since)
     }
 
-    /// Gives since when the task of a step waits that has waited longest.
+    /// Returns since when the longest-waiting task of a step has waited.
     pub(crate) fn since(&self, step: &StepKey) -> Option<Millis> {
         self.longest(step).map(|(_, since)| since)
     }
 
-    /// Gives the steps with tasks that wait, and since when the one waits that has waited longest.
+    /// Returns the steps with waiting tasks, and since when the longest-waiting one has waited.
     pub(crate) fn steps(&self) -> impl Iterator<Item = (&StepKey, Millis)> {
         self.waiting.keys().filter_map(|key| Some((key, self.longest(key)?.1)))
     }
 
-    /// Gives the steps with tasks that come before other work, and from when on the first of each does.
+    /// Returns the steps with overdue tasks, and when the first of each became overdue.
     pub(crate) fn owed_steps(&self, now: Millis) -> impl Iterator<Item = (&StepKey, Millis)> {
         let first = |waiting: &Waiting| waiting.values().map(Wait::is_owed_from).min();
         let steps = self.waiting.iter().filter_map(move |(key, w)| Some((key, first(w)?)));
         steps.filter(move |(_, from)| *from <= now)
     }
 
-    /// Tells whether a task comes before other work.
+    /// Returns whether a task is overdue.
     pub(crate) fn is_owed(&self, now: Millis, task: &TaskKey) -> bool {
         let wait = self.waiting.get(&task.step).and_then(|w| w.get(&task.index));
         wait.is_some_and(|w| w.is_owed_from() <= now)
     }
 
-    /// Gives the tasks that wait, and since when.
+    /// Returns the waiting tasks, and since when.
     pub(crate) fn tasks(&self) -> impl Iterator<Item = (TaskKey, Millis)> {
         self.waiting.keys().flat_map(|step| self.of_step(step))
     }
 
-    /// Gives the tasks of a step that wait, and since when.
+    /// Returns the waiting tasks of a step, and since when.
     pub(crate) fn of_step(&self, step: &StepKey) -> impl Iterator<Item = (TaskKey, Millis)> {
         let task = |index: &u32| TaskKey { step: *step, index: *index };
         let waiting = self.waiting.get(step).into_iter().flatten();
@@ -176,7 +177,7 @@
     }
 }
 
-/// Gives those of a job's steps whose round is due.
+/// Returns those of a job's given steps whose round is due.
 fn due_steps(m: Moment, job: JobId, of: &Job, steps: &[u32]) -> impl Iterator<Item = StepKey> {
     let rounds = 0..of.spec.round_count();
     let due = rounds.take_while(move |round| m.wall >= of.spec.due(*round));
--- a/components/dispatch/src/window.rs
+++ b/components/dispatch/src/window.rs
@@ -1,50 +1,52 @@
-//! Which open steps a plan looks at.
+//! Selection of the open steps that a plan examines.
 //!
-//! Load pattern: hundreds of steps wait, and the most urgent of them can start nowhere, because the workers
-//! that they need are full or gone. A plan that looked at the most urgent ones only would never come to those
-//! behind, however many workers are free for them. So each plan also looks at some of the rest, by turns.
+//! Load pattern: hundreds of steps wait, and the most urgent of them can start nowhere, because the
+//! workers that they need are full or gone. A plan that examined only the most urgent ones would
+//! never reach those behind, however many workers are free for them. So each plan also examines
+//! some of the rest, in rotation.
 
 use std::collections::BTreeSet;
 use std::ops::Bound;
 
 use workload::{JobId, OpenStep, StepKey};
 
-/// How many of the most urgent steps every plan looks at. It bounds the time that a plan takes when far more
-/// waits than can run.
+/// The number of most urgent steps that every plan examines. It bounds the time of a plan when far
+/// more waits than can run.
 const MOST_URGENT: usize = 200;
-/// How many of the steps behind those a plan looks at: with 20 plans a second each of 1,000 such steps has
-/// its turn every second, for a quarter of a plan's time more.
+/// The number of steps behind those that a plan examines. With 20 plans a second each of 1,000 such
+/// steps is examined every second, for a quarter of a plan's time more.
 const BY_TURNS: usize = 50;
 
 /// Whether a step may start now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Readiness {
-    /// Nothing but the workers stands against it.
+    /// Only the workers may prevent it from starting.
     MayStart,
     /// Its round is not due, nor are the later ones of its job.
     NotDue,
-    /// Its organisation has as much running as it may.
+    /// Its organisation is at its limit of running tasks.
     AtLimit,
 }
 
-/// Where the turns of the steps behind the most urgent ones have come to.
+/// The position of the rotation through the steps behind the most urgent ones.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Window {
     last_turn: Option<OpenStep>,
 }
 
-/// The steps that a plan looks at.
+/// The steps that a plan examines.
 pub(crate) struct Looked {
     /// The most urgent ones.
     pub(crate) urgent: Vec<OpenStep>,
-    /// Those whose turn it is.
+    /// The next ones in the rotation.
     pub(crate) by_turns: Vec<OpenStep>,
-    /// How many jobs were passed over because no round of theirs is due, and steps whose organisation is at its limit.
+    /// The number of jobs skipped because none of their rounds is due, and of steps skipped because
+    /// their organisation is at its limit.
     pub(crate) passed_over: u64,
 }
 
 impl Window {
-    /// Gives the steps that the next plan looks at, of those that may start.
+    /// Returns the steps that the next plan examines, of those that may start.
     pub(crate) fn next(
         &mut self,
         open: &BTreeSet<OpenStep>,
@@ -60,7 +62,7 @@
         let behind = self.last_turn.filter(|t| *t > last_urgent).unwrap_or(last_urgent);
         due.from = Bound::Excluded(behind);
         let mut by_turns: Vec<OpenStep> = due.by_ref().take(BY_TURNS).collect();
-        // Behind the last one the turns begin anew.
+        // The rotation restarts behind the most urgent steps.
         due.from = Bound::Excluded(last_urgent);
         let anew = due.by_ref().take_while(|e| *e <= behind).take(BY_TURNS - by_turns.len());
         by_turns.extend(anew);
@@ -69,7 +71,7 @@
     }
 }
 
-/// Goes through the open steps that may start.
+/// An iterator over the open steps that may start.
 struct DueSteps<'a, F> {
     open: &'a BTreeSet<OpenStep>,
     readiness: F,
@@ -98,7 +100,8 @@
     }
 }
 
-/// Gives what stands before all steps of the job at a place in the order of acceptance.
+/// Returns an entry that sorts before all steps of the job at a position in the order of
+/// acceptance.
 fn first_of(priority: u8, order: u64) -> OpenStep {
     let key = StepKey { job: JobId(0), round: 0, step: 0 };
     OpenStep { priority, order, key }
