--- a/components/dispatch/tests/lasting.rs
+++ b/components/dispatch/tests/lasting.rs
@@ -1,22 +1,23 @@
-//! A task that lasts must be at work again within seconds wherever room is that it may use.
+//! A long-running task must run again within seconds wherever a worker that it may use has free capacity.
 //!
-//! Tasks that last had no run for 9 s and more, while much of the workers' room was free. Their last runs had ended
-//! `Failed` within tenths of a second of many others, of quick jobs and batch jobs. Each worker on which two runs of
-//! two jobs failed in a row was set aside for 4 s, then for 8 s, then for 16 s, and each was judged by itself: when all
-//! workers failed whatever they started for 6.5 s, `E967 worker_failing` had named 46 of 48 workers two seconds later,
-//! each for 16 s by then. Once all were well again the leader told
+//! Long-running tasks had no run for 9 s and more although much of the workers' capacity was free. Their last runs
+//! had ended `Failed` within tenths of a second of many other runs, of quick jobs and batch jobs. Each worker on
+//! which two runs of two jobs failed in a row was quarantined for 4 s, then 8 s, then 16 s, and each worker was
+//! judged by itself. When all workers failed whatever they started for 6.5 s, `E967 worker_failing` had named 46 of
+//! 48 workers two seconds later, each for 16 s by then. Once all were healthy again the leader logged
 //!
 //!     load_told ... cpu_milli=159100/960000 ... workers=48/48 unsettled=0 without_caller=0
 //!
-//! and for ten seconds more 32 to 46 workers were still set aside. Two tasks that last were without a run for 16 s and
-//! 15 s, ten of them with all workers well; their calls for advice named one to seven workers each. A worker on which
-//! ten runs ended together was named eleven times within 40 ms, `for_ms=4000, 8000, 16000, 16000, ...`. Where a third to
-//! a half of the quick jobs could never be done, 34 of 48 workers that were all well were set aside by them.
+//! and for ten more seconds 32 to 46 workers were still quarantined. Two long-running tasks were without a run for
+//! 16 s and 15 s, ten of those seconds with all workers healthy; their calls for advice named one to seven workers
+//! each. A worker on which ten runs ended together was named eleven times within 40 ms,
+//! `for_ms=4000, 8000, 16000, 16000, ...`. Where a third to a half of the quick jobs could never succeed, they
+//! quarantined 34 of 48 workers, all of which were healthy.
 //!
-//! Another way to the same wait needs no worker set aside: on a fleet that was 88 to 97% full, with 7 to 9 of 10
-//! callers busy, 384 calls for advice were made in ten seconds, and none was about the step whose task had failed.
+//! The same wait also occurs with no worker quarantined: on a fleet that was 88 to 97% full, with 7 to 9 of 10 advice
+//! callers busy, 384 calls for advice were made in ten seconds, and none was for the step whose task had failed.
 //!
-//! `--nocapture` prints the figures of each case.
+//! `--nocapture` prints the measurements of each case.
 
 mod common;
 
@@ -36,38 +37,39 @@
 const CALLERS: usize = 10;
 /// How many of a hundred workers the advice service allows for a step.
 const ALLOWED: u64 = 35;
-/// How long the mixed work runs before anything fails.
+/// How long the mixed workload runs before anything fails.
 const WARM_UP: Millis = Millis(5_000);
-/// For how long workers fail what they start.
+/// How long workers fail what they start.
 const FAILING: Millis = Millis(6_500);
-/// How long it is watched what comes of it.
+/// How long the fleet is observed after the failures have ended.
 const AFTERWARDS: Millis = Millis(20_000);
-/// Within what time a task that lasts must be tried, or be at work again once its workers are well.
+/// The time within which a long-running task must be tried while workers fail, or must run again once they are
+/// healthy.
 const AGAIN: Millis = Millis(3_000);
-/// The same where whatever comes free is sought by others.
+/// The same limit where other work competes for all capacity that becomes free.
 const AGAIN_AMONG_OTHERS: Millis = Millis(5_000);
 
 fn whole() -> Size {
     Size::new(CORES * 1_000, CORES * 2_000, 0)
 }
 
-/// Tasks that run until they are cancelled.
+/// Returns a step of tasks that run until they are cancelled.
 fn lasting(count: u32) -> StepSpec {
     StepSpec { long_running: true, estimate: Millis(20_000), ..step(count) }
 }
 
-/// A fleet with mixed work, and the tasks that are to be at work all the time.
+/// A fleet with a mixed workload, and the long-running tasks that must run all the time.
 struct Play {
     f: Fleet,
     mix: Mix,
     tasks: Vec<TaskKey>,
-    /// When each of them ran last.
+    /// When each of the tasks last ran.
     ran_at: BTreeMap<TaskKey, Millis>,
-    /// When one of them was last away.
+    /// When one of the tasks was last without a run.
     away_at: Millis,
-    /// For how long one of them was away at most.
+    /// The longest time for which one of the tasks was without a run.
     longest: Millis,
-    /// What part of the room was given out, and how many callers were busy, at each step.
+    /// The percentage of the capacity in use and the number of busy advice callers, at each step.
     used: Vec<u64>,
     busy: Vec<u64>,
 }
@@ -76,14 +78,14 @@
     fn new(seed: u64) -> Play {
         let mut f = Fleet::new(seed, CALLERS);
         f.allow(ALLOWED);
-        // Each case has a bound of its own.
+        // Each case checks a bound of its own.
         f.watch.only_notes = true;
         f.away.only_notes = true;
         f.join("w", WORKERS, whole());
         f.pass(Millis(500));
         Play {
             f,
-            // A third of the calls for advice that could be made is enough for it.
+            // A third of the calls for advice that could be made is enough for this workload.
             mix: Mix::new(0.3, 0.1, 0.05),
             tasks: Vec::new(),
             ran_at: BTreeMap::new(),
@@ -94,7 +96,7 @@
         }
     }
 
-    /// The same with 24 tasks that last, at work.
+    /// Returns the same with 24 long-running tasks that run.
     fn with_pairs(seed: u64) -> Play {
         let mut p = Play::new(seed);
         p.hand_in("mid", &lasting(2), 12);
@@ -102,7 +104,7 @@
         p
     }
 
-    /// Hands in some jobs of tasks that last.
+    /// Submits some jobs of long-running tasks.
     fn hand_in(&mut self, queue: &str, spec: &StepSpec, jobs: usize) {
         for _ in 0..jobs {
             let job = self.f.hand_in(Kind::Lasting, queue, vec![spec.clone()]);
@@ -110,8 +112,8 @@
         }
     }
 
-    /// Hands in a job of tasks that last for which advice allows so many workers. Until a job comes that is such, the
-    /// jobs are quick ones.
+    /// Submits a job of long-running tasks for which advice allows a number of workers within `allowed`. Submits
+    /// quick jobs until the next job is such a job.
     fn hand_in_where(&mut self, spec: &StepSpec, allowed: RangeInclusive<usize>) {
         loop {
             let next = task(self.f.jobs.len() as u64 + 1, 0, 0);
@@ -125,11 +127,11 @@
 
     fn warm_up(&mut self) {
         self.play(WARM_UP);
-        assert_eq!(self.away(), 0, "all tasks that last run before anything fails");
+        assert_eq!(self.away(), 0, "all long-running tasks run before anything fails");
         self.begin();
     }
 
-    /// Forgets what was noted so far.
+    /// Discards what was recorded so far.
     fn begin(&mut self) {
         let now = self.f.bench.now;
         self.ran_at = self.tasks.iter().map(|t| (*t, now)).collect();
@@ -171,7 +173,7 @@
         self.busy.push(figures.advice_callers_busy);
     }
 
-    /// Lets one of the tasks fail of itself.
+    /// Makes one of the tasks fail by itself.
     fn fail(&mut self, at: usize) {
         let task = self.tasks[at % self.tasks.len()];
         self.f.fail_now(&task);
@@ -181,8 +183,9 @@
         self.f.workers(|_| true)
     }
 
-    /// Has workers fail all they start for a while, and half of the tasks fail of themselves during it. Gives for how
-    /// long one was not tried at most, and how long after the end of it one was last away.
+    /// Has workers fail everything that they start for a while, and half of the tasks fail by themselves meanwhile.
+    /// Returns the longest time for which a task was not tried, and how long after the end of the failures a task was
+    /// last without a run.
     fn trouble(&mut self, on: &[WorkerId]) -> (Millis, Millis) {
         self.begin();
         on.iter().for_each(|id| self.f.set_failing(id, true));
@@ -197,7 +200,7 @@
         (untried, self.away_at.since(well_at))
     }
 
-    /// Gives how many jobs of a kind have failed that could be done.
+    /// Returns how many jobs of a kind have failed although they could succeed.
     fn failed(&self, kind: Kind) -> usize {
         let f = &self.f;
         let failed = |id| f.bench.committed.job(id).is_some_and(|j| j.state == JobState::Failed);
@@ -205,7 +208,7 @@
         jobs.filter(|(id, _)| failed(**id)).count()
     }
 
-    /// Gives the longest wait from hand-in to the first start of the quick jobs that can be done.
+    /// Returns the longest wait from submission to first start of the quick jobs that can succeed.
     fn longest_quick_wait(&self, from: Millis) -> Millis {
         let (f, now) = (&self.f, self.f.bench.now);
         let quick = f.jobs.iter().filter(|(_, j)| j.kind == Kind::Quick && j.at >= from);
@@ -216,7 +219,7 @@
     fn figures(&self) -> String {
         let f = self.f.bench.dispatcher.figures();
         format!(
-            "cpu_milli={}/{} open_steps={} busy={}/{} without_caller={}, any step stood for {:?}",
+            "cpu_milli={}/{} open_steps={} busy={}/{} without_caller={}, longest wait of any step {:?}",
             f.used.cpu_milli,
             f.capacity.cpu_milli,
             f.open_steps,
@@ -228,16 +231,19 @@
     }
 }
 
-/// Gives the figure that a part of some stay below, in percent.
+/// Returns the percentile `percent` of some values.
 fn part(mut figures: Vec<u64>, percent: usize) -> u64 {
     figures.sort_unstable();
     figures[figures.len() * percent / 100]
 }
 
 fn assert_tried((untried, again): (Millis, Millis), p: &Play, what: &str) {
-    println!("{what}: untried {untried:?}, away {again:?} after it; {}", p.figures());
+    println!(
+        "{what}: not tried for {untried:?}, without a run {again:?} after the failures; {}",
+        p.figures()
+    );
     assert!(untried <= AGAIN, "{what}: not tried for {untried:?} while workers fail");
-    assert!(again <= AGAIN, "{what}: away {again:?} after the workers are well");
+    assert!(again <= AGAIN, "{what}: without a run {again:?} after the workers are healthy");
 }
 
 mod beside_room {
@@ -251,7 +257,7 @@
         assert_tried(came, &p, &format!("all workers fail, seed {seed}"));
     }
 
-    /// Most workers fail for a while; those that do not have room for all.
+    /// Most workers fail for a while; the others have capacity for all tasks.
     #[rstest]
     fn most_workers_fail_for_a_while(#[values(1, 2, 3)] seed: u64) {
         let mut p = Play::with_pairs(seed);
@@ -260,9 +266,10 @@
         assert_tried(came, &p, &format!("most workers fail, seed {seed}"));
     }
 
-    /// Some of the quick jobs fail wherever they run, on workers that are all well. What fails everywhere says little of
-    /// a worker, so most must be given work in any three seconds: four fifths where such jobs are few, and two
-    /// thirds where they are many, since at most a third may be set aside. At a load like this one 46 of 48 are without them.
+    /// Some of the quick jobs fail wherever they run, on workers that are all healthy. What fails everywhere is no
+    /// sign of a faulty worker, so most workers must be given work in any three seconds: four fifths where such jobs
+    /// are few, and two thirds where they are many, since at most a third may be quarantined. At a load like this one
+    /// 46 of 48 are given work without such jobs.
     #[rstest]
     #[case::none(0, 43)]
     #[case::a_tenth(10, 38)]
@@ -286,25 +293,25 @@
             }
         }
         let (away, quick, failed) = (p.longest, p.longest_quick_wait(from), p.failed(Kind::Quick));
-        let what = format!("{percent}% can never be done, seed {seed}");
+        let what = format!("{percent}% can never succeed, seed {seed}");
         println!(
-            "{what}: away for {away:?}, quick jobs wait {quick:?}, {failed} that could be done failed, \
+            "{what}: without a run for {away:?}, quick jobs wait {quick:?}, {failed} that could succeed failed, \
          {fewest} workers given work; {}",
             p.figures()
         );
-        assert!(away <= AGAIN, "{what}: a task that lasts is away for {away:?}");
+        assert!(away <= AGAIN, "{what}: a long-running task is without a run for {away:?}");
         assert!(quick <= Millis(500), "{what}: a quick job waits for {quick:?}");
         assert!(fewest >= least, "{what}: {fewest} workers are given work");
-        assert_eq!(failed, 0, "{what}: jobs that could be done fail");
+        assert_eq!(failed, 0, "{what}: jobs that could succeed fail");
     }
 
-    /// Runs that were there together tell of one moment, however many they are.
+    /// Runs that run at the same time and fail together count as one failure, however many they are.
     #[rstest]
     fn runs_that_fail_together_count_once(#[values(1, 2, 3)] seed: u64) {
         let mut p = Play::new(seed);
         p.f.allow_all();
         p.mix = Mix::new(0.2, 0.0, 0.0);
-        // Work for all the room there is, which needs no long calls.
+        // Work for the whole capacity, which needs no long calls for advice.
         let spec = StepSpec { estimate: Millis(4_000), ..step(40) };
         for _ in 0..200 {
             p.f.hand_in(Kind::Wide, "q", vec![spec.clone()]);
@@ -312,7 +319,7 @@
         p.play(WARM_UP);
         let one = p.all_workers().remove(0);
         let there: Vec<TaskKey> = p.f.hosts[&one].fake.running.keys().copied().collect();
-        assert!(there.len() >= 10, "{} runs are there", there.len());
+        assert!(there.len() >= 10, "{} tasks run on the worker", there.len());
         let from = p.f.bench.now;
         there.iter().take(10).for_each(|t| {
             p.f.fail_now(t);
@@ -324,7 +331,7 @@
         assert!(first.is_some_and(|at| at <= Millis(5_000)), "tried after {first:?}");
     }
 
-    /// The few workers with a label fail for a while. Nobody else may take the task.
+    /// The few workers with a label fail for a while. No other worker may take the task.
     #[rstest]
     fn the_workers_with_a_label_fail(#[values(1, 2, 3)] seed: u64) {
         let mut p = Play::new(seed);
@@ -350,7 +357,8 @@
         assert_tried(came, &p, &format!("{} allowed workers fail, seed {seed}", few.len()));
     }
 
-    /// Each worker may run one task of a step, few are allowed, and two thirds of all fail for a while.
+    /// Each worker may run one task of a step, few workers are allowed, and two thirds of all workers fail for a
+    /// while.
     #[rstest]
     fn few_workers_for_a_step_that_spreads(#[values(1, 2, 3)] seed: u64) {
         let mut p = Play::new(seed);
@@ -363,11 +371,11 @@
         let bad: Vec<WorkerId> =
             all.into_iter().enumerate().filter(|(i, _)| i % 3 > 0).map(|(_, id)| id).collect();
         let came = p.trouble(&bad);
-        assert_tried(came, &p, &format!("a step that spreads, seed {seed}"));
+        assert_tried(came, &p, &format!("a step that spreads its tasks, seed {seed}"));
     }
 
-    /// More waits than can run, both more and less urgent than the tasks that last and smaller, and all instances that may
-    /// make long calls make them.
+    /// More work waits than can run. Some of it is more urgent than the long-running tasks, some is less urgent, and
+    /// its tasks are smaller. All instances that may make long calls for advice make them.
     #[rstest]
     fn a_backlog_seeks_whatever_comes_free(#[values(1, 2, 3)] seed: u64) {
         let mut p = Play::new(seed);
@@ -384,17 +392,17 @@
         p.play(AGAIN_AMONG_OTHERS);
         let (used, busy) = (part(p.used.clone(), 50), part(p.busy.clone(), 50));
         println!(
-            "a backlog, seed {seed}: away for {:?}, {} at the end, {used}% given out, {busy} busy; {}",
+            "a backlog, seed {seed}: without a run for {:?}, {} at the end, {used}% in use, {busy} busy; {}",
             p.longest,
             p.away(),
             p.figures()
         );
-        assert!(used >= 85, "{used}% of the room is given out");
-        assert!(p.longest <= AGAIN_AMONG_OTHERS, "away for {:?}", p.longest);
+        assert!(used >= 85, "{used}% of the capacity is in use");
+        assert!(p.longest <= AGAIN_AMONG_OTHERS, "without a run for {:?}", p.longest);
     }
 }
 
-/// What was wasted in one play on workers that fail all they start while the others are well.
+/// What was wasted in some simulations on workers that fail everything that they start while the others are healthy.
 #[derive(Debug, Default)]
 struct Waste {
     quick_runs: usize,
@@ -402,8 +410,8 @@
     failed_jobs: usize,
 }
 
-/// A worker that fails what is well elsewhere must be kept from it soon. The bounds are a tenth more than what
-/// the dispatcher wasted in these six plays when it judged each worker by itself.
+/// A worker that fails tasks which succeed elsewhere must soon be kept from them. The bounds are a tenth above what
+/// the dispatcher wasted in these six simulations when it judged each worker by itself.
 #[rstest]
 #[case::one(48, Waste { quick_runs: 48, batch_runs: 20, failed_jobs: 0 })]
 #[case::a_tenth(10, Waste { quick_runs: 266, batch_runs: 77, failed_jobs: 7 })]
@@ -428,9 +436,9 @@
         waste.failed_jobs += kinds.into_iter().map(|kind| p.failed(kind)).sum::<usize>();
         away = away.max(p.longest);
     }
-    println!("one in {one_in} fails: {waste:?}, a task that lasts is away for {away:?}");
+    println!("one in {one_in} fails: {waste:?}, a long-running task is without a run for {away:?}");
     assert!(waste.quick_runs <= bound.quick_runs, "{waste:?}");
     assert!(waste.batch_runs <= bound.batch_runs, "{waste:?}");
     assert!(waste.failed_jobs <= bound.failed_jobs, "{waste:?}");
-    assert!(away <= AGAIN, "a task that lasts is away for {away:?}");
+    assert!(away <= AGAIN, "a long-running task is without a run for {away:?}");
 }
--- a/components/dispatch/tests/lasting_schedules.rs
+++ b/components/dispatch/tests/lasting_schedules.rs
@@ -1,8 +1,11 @@
-//! Random schedules of whatever may keep a task that lasts from its next run, all at once: workers that fail all they
-//! start, jobs that fail wherever they run, tasks that last and fail of themselves, few allowed workers, steps that
-//! spread, a backlog, crashes, and leaders that are lost. Then nothing of it happens for half a minute, since what
-//! lingers shows only then. At each step [`common::away`] checks the promise to tasks that last.
-//! `HEATHVALE_LASTING_SEEDS=1-200 cargo test -p dispatch --test lasting_schedules` plays more of them than the eight seeds of every run.
+//! Random schedules that combine whatever may keep a long-running task from its next run: workers that fail
+//! everything that they start, jobs that fail wherever they run, long-running tasks that fail by themselves, few
+//! allowed workers, steps that spread their tasks, a backlog, crashes, and leaders that are lost. Then no such event
+//! happens for half a minute, since lasting effects show only then. At each step [`common::away`] checks that
+//! long-running tasks run again in time.
+//!
+//! `HEATHVALE_LASTING_SEEDS=1-200 cargo test -p dispatch --test lasting_schedules` runs more seeds than the eight of
+//! every run.
 
 mod common;
 
@@ -18,11 +21,11 @@
 use rstest::rstest;
 use workload::{JobId, JobState, MOST_CRASHES, StepSpec, TaskKey, WorkerId};
 
-/// What happens in one schedule, one thing after the other.
+/// How many events happen in one schedule, one after the other.
 const EVENTS: usize = 25;
-/// For how long nothing happens in the end, while callers go on handing in jobs.
+/// How long no event happens in the end, while callers go on submitting jobs.
 const CALM: Millis = Millis(30_000);
-/// Within what time all jobs must be at their end then.
+/// The time within which all jobs must have ended after that.
 const SETTLED: Millis = Millis(60_000);
 /// How many runs of a task must fail for its job to fail.
 const FEWEST_FAILS: usize = 2;
@@ -32,7 +35,7 @@
     values.choose(&mut f.rng).copied().unwrap_or(values[0])
 }
 
-/// Hands in a job of tasks that last, of which some fail of themselves again and again.
+/// Submits a job of long-running tasks, of which some fail by themselves again and again.
 fn hand_in_lasting(f: &mut Fleet) {
     let count = 1 + f.below(3) as u32;
     let max_per_worker = f.below(2) as u32;
@@ -54,7 +57,7 @@
     }
 }
 
-/// Gives some of the workers: all, one, or one of so many.
+/// Returns every `one_in`-th usable worker, from a random one on.
 fn some(f: &mut Fleet, one_in: usize) -> Vec<WorkerId> {
     let first = f.below(one_in as u64) as usize;
     f.workers(Host::is_usable).into_iter().skip(first).step_by(one_in).collect()
@@ -68,7 +71,7 @@
     f.workers(|h| h.failing).iter().for_each(|id| f.set_failing(id, false));
 }
 
-/// Lets some of the tasks that last fail now.
+/// Makes some of the long-running tasks fail now.
 fn fail_some(f: &mut Fleet) {
     let running: Vec<TaskKey> = f.hosts.values().flat_map(Host::lasting).collect();
     for task in running.iter().step_by(4) {
@@ -107,12 +110,12 @@
     mix.play(f, pause);
 }
 
-/// Makes a fleet of which the advice service allows few workers, with tasks that last.
+/// Returns a fleet of which the advice service allows few workers, with long-running tasks.
 fn fleet(seed: u64) -> Fleet {
     let mut f = Fleet::new(seed, 10);
     let share = one_of(&mut f, &[12, 20, 35, 70]);
     f.allow(share);
-    // Other work may wait for as long as workers are set aside that failed it.
+    // Other work may wait for as long as the workers that failed it are quarantined.
     f.watch.only_notes = true;
     let size = Size::new(16_000, 32_000, 0);
     f.join("w", 36, size);
@@ -131,19 +134,21 @@
         disturb(&mut f, &mut mix);
     }
     make_well(&mut f);
-    // The jobs that can never be done are no trouble of the fleet's, and go on for a while.
+    // Jobs that can never succeed are no fault of the fleet's, and go on for a while.
     mix.play(&mut f, Millis(CALM.0 / 2));
     mix.undoable = 0;
     mix.play(&mut f, Millis(CALM.0 / 2));
     let (away, stood) = (f.away.longest, f.watch.longest);
-    println!("seed {seed}: a task that lasts was away for {away:?}, any step stood for {stood:?}");
-    // By now no job that can never be done is left, and no worker may be set aside for long.
+    println!(
+        "seed {seed}: a long-running task was without a run for {away:?}, longest wait of any step {stood:?}"
+    );
+    // By now no job that can never succeed is left, and no worker may be quarantined for long.
     f.watch.only_notes = false;
     f.pass(SETTLED);
     check(&f, seed);
 }
 
-/// Every job has come to the end that it deserves.
+/// Checks that every job has reached its expected end.
 fn check(f: &Fleet, seed: u64) {
     let wasted = wasted(f);
     for (id, job) in f.jobs.iter().filter(|(id, _)| can_run(f, **id)) {
@@ -153,7 +158,7 @@
         match kind {
             Kind::Lasting => {
                 let is_over = state.is_none_or(JobState::is_final);
-                assert!(!is_over, "seed {seed}: {id}, which lasts, is {state:?}");
+                assert!(!is_over, "seed {seed}: {id}, which is long-running, is {state:?}");
             }
             _ if f.failures.jobs.contains(id) => {
                 assert_eq!(state, Some(JobState::Failed), "seed {seed}: {id}, {kind:?}");
@@ -167,8 +172,9 @@
     }
 }
 
-/// Tells whether every step of a job may run anywhere: where few workers are allowed, none that is there is for some
-/// steps. A gang takes a whole worker, and tasks that last may hold a part of some for good.
+/// Returns whether every step of a job has workers on which it may run: where few workers are allowed, none of the
+/// present ones is for some steps. A gang takes a whole worker, and long-running tasks may hold a part of some for
+/// good.
 fn can_run(f: &Fleet, job: JobId) -> bool {
     let fewest = if f.jobs[&job].kind == Kind::Gang { 3 } else { 1 };
     let is_there = |id: &&WorkerId| f.hosts[*id].is_usable();
@@ -176,13 +182,13 @@
     (0..2).all(|step| allowed(step) >= fewest)
 }
 
-/// Gives how many workers have crashed under that task of a job which met the most.
+/// Returns how many workers have crashed under the task of a job that met the most crashes.
 fn crashes(f: &Fleet, job: JobId) -> u32 {
     let of_job = f.crashes.under.iter().filter(|(task, _)| task.step.job == job);
     of_job.map(|(_, crashes)| *crashes).max().unwrap_or(0)
 }
 
-/// Gives for each job how many runs of that task, or of that gang, were wasted of which the most were.
+/// Returns for each job the largest number of wasted runs of one of its tasks; a gang counts as one task.
 fn wasted(f: &Fleet) -> BTreeMap<JobId, usize> {
     let mut by_task: BTreeMap<TaskKey, usize> = BTreeMap::new();
     for start in f.failures.starts.iter().filter(|s| s.is_wasted) {
@@ -202,7 +208,7 @@
     play(seed);
 }
 
-/// Plays the seeds that are asked for.
+/// Runs the seeds that the environment names.
 #[test]
 fn tasks_that_last_are_at_work_again_with_more_seeds() {
     let asked = std::env::var("HEATHVALE_LASTING_SEEDS").unwrap_or_default();
--- a/components/dispatch/tests/lasting_waits.rs
+++ b/components/dispatch/tests/lasting_waits.rs
@@ -1,4 +1,4 @@
-//! Since when tasks that last wait, as the figures tell it.
+//! Tests of the statistics about how long long-running tasks have waited.
 
 mod common;
 
@@ -15,12 +15,12 @@
 use rstest::rstest;
 use workload::{EndKind, JobSpec, StepSpec, TaskKey, WorkerId};
 
-/// A step of tasks that last.
+/// Returns a step of long-running tasks.
 fn lasting(count: u32) -> StepSpec {
     StepSpec { long_running: true, ..step(count) }
 }
 
-/// Tells how many tasks that last wait, and for how long the first of them has.
+/// Returns how many long-running tasks wait, and how long the first of them has waited.
 fn waiting(b: &Bench) -> (u64, Millis) {
     let Figures { lasting_waiting, lasting_longest_wait, .. } = b.dispatcher.figures();
     (lasting_waiting, lasting_longest_wait)
@@ -40,7 +40,7 @@
     assert_eq!(waiting(&b), (1, Millis(1_501)));
 }
 
-/// Has the worker say that it leaves.
+/// Has the worker announce that it leaves.
 fn leaves(b: &mut Bench, name: &str, cores: u64) {
     b.feed(Input::News(WorkerNews { leaving: true, number: 2, ..news(name, cores) }));
 }
@@ -66,7 +66,7 @@
     }
 }
 
-/// However a run has come to its end, its task waits from then on.
+/// However a run has ended, its task waits from then on.
 #[rstest]
 #[case::it_fails(fails)]
 #[case::its_worker_crashes(another_life_answers)]
@@ -186,14 +186,14 @@
     assert_eq!(waiting(&b), (1, Millis(600)));
 }
 
-/// How long a plan may take to come: then the dispatcher must know of a wait, and of its end.
+/// The longest time until the next plan, by which the dispatcher must know of a wait and of its end.
 const NEXT_PLAN: Millis = Millis(200);
 
-/// Since when tasks that last wait, found anew from the whole book at each step.
+/// Since when long-running tasks have waited, computed from the whole replicated state at each step.
 #[derive(Default)]
 struct Found {
     since: BTreeMap<TaskKey, Millis>,
-    /// Since when the figures have been off.
+    /// Since when the dispatcher's statistics have differed.
     off_since: Option<Millis>,
     /// How many waits there were.
     waits: usize,
@@ -221,14 +221,15 @@
         let now = f.bench.now;
         let (waiting, longest) = waiting(&f.bench);
         let wanted = self.since.values().min().map_or(Millis::ZERO, |since| now.since(*since));
-        // What was handed in is found here at the end of the step.
+        // A job that was submitted during a step is found here at the end of the step.
         let close = longest <= wanted + STEP && wanted.since(longest) <= NEXT_PLAN;
         if waiting == self.since.len() as u64 && close {
             self.off_since = None;
             return;
         }
         let off_since = *self.off_since.get_or_insert(now);
-        let told = format!("{waiting} for {longest}, found {} for {wanted}", self.since.len());
+        let told =
+            format!("reported {waiting} for {longest}, found {} for {wanted}", self.since.len());
         assert!(now.since(off_since) <= NEXT_PLAN, "{now}: {told}");
     }
 
@@ -241,8 +242,8 @@
     }
 }
 
-/// Workers leave, are lost with what they run, crash and fall silent, jobs are given up, and another instance
-/// leads. What is kept of the waits is what a look through the whole book finds.
+/// Workers leave, are lost with what they run, crash and fall silent, jobs are given up, and another instance takes
+/// over the lead. The waits that the dispatcher maintains must match a scan of the whole replicated state.
 #[test]
 fn the_waits_are_those_that_a_look_through_the_whole_book_finds() {
     for seed in 1..=4 {
@@ -252,7 +253,8 @@
         for n in 0..60 {
             match n % 10 {
                 0 | 2 | 6 => mix::lasting(&mut f, None),
-                // These jobs end their workers until they are given up, and take others along.
+                // These jobs crash their workers until they are given up, and other tasks on those workers are lost
+                // with them.
                 4 => {
                     let spec = StepSpec { estimate: Millis(20_000), ..lasting(2) };
                     let faulty = f.hand_in(Kind::Lasting, "mid", vec![spec]);
@@ -268,7 +270,7 @@
                 2 => {
                     f.lose_leader();
                     f.take_over();
-                    // The log may not know of those that joined last.
+                    // The log may lack the workers that joined last.
                     f.workers(|h| !h.leaving).iter().for_each(|id| f.announce(id));
                     found = Found { waits: found.waits, ..Found::default() };
                 }
--- a/components/dispatch/tests/life_schedules.rs
+++ b/components/dispatch/tests/life_schedules.rs
@@ -1,7 +1,9 @@
-//! Random schedules of workers that start again under the name that they had, several times in a row and many at once, of
-//! workers that begin to say when they were born while they run, of announcements that come late from lives that are over, and
-//! of leaders that are lost. The fleet checks room and waits at each step, and here that no task runs in two places.
-//! `HEATHVALE_LIFE_SEEDS=1-100 cargo test -p dispatch --test life_schedules` plays more of them.
+//! Random schedules of workers that are restarted under the same name, several times in a row and many at the same
+//! time, of workers that begin to announce their start time while they run, of late announcements from incarnations
+//! that are over, and of leaders that are lost. The fleet checks capacity and waits at each step; these schedules
+//! also check that no task runs in two places.
+//!
+//! `HEATHVALE_LIFE_SEEDS=1-100 cargo test -p dispatch --test life_schedules` runs more of them.
 
 mod common;
 
@@ -13,9 +15,9 @@
 use workload::WorkerId;
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=6;
-/// What happens in one schedule, one thing after the other.
+/// How many events happen in one schedule, one after the other.
 const EVENTS: usize = 30;
-/// How long a life must have gone on before it may end, so that no two of a name begin at the same time.
+/// The minimum age of an incarnation before it may end, so that no two of one name begin at the same time.
 const SHORTEST_LIFE: Millis = Millis(50);
 
 fn some(f: &mut Fleet, one_in: u64, wanted: impl Fn(&Fleet, &WorkerId) -> bool) -> Vec<WorkerId> {
@@ -76,7 +78,7 @@
         let job = f.bench.committed.job(**id);
         job.is_none_or(|j| j.state.is_final() || j.spec.is_long_running())
     });
-    assert_eq!(over.count(), f.jobs.len(), "seed {seed}: all that ends is at its end");
+    assert_eq!(over.count(), f.jobs.len(), "seed {seed}: every job that can end has ended");
 }
 
 #[test]
@@ -89,11 +91,12 @@
     }
 }
 
-/// All five tasks of a step lose their workers, so it goes on with one. That one's worker answers its next renewal only once the
-/// wait is over, two seconds later, and until then nobody knows that it seems well: a sibling stands beside room for three seconds.
+/// All five tasks of a step lose their workers, so the step goes on with one task. The worker of that task answers
+/// its next renewal only once the wait is over, two seconds later, and until then nobody knows that the task seems
+/// healthy: its siblings wait beside free capacity for three seconds.
 ///
-/// `run_placed ... .0 run=2 worker=w30` at 7.74 s, the next two `run_placed` at 9.72 s, and nothing in between but calls for
-/// advice, with 48 places free on 20 workers.
+/// The log shows `run_placed ... .0 run=2 worker=w30` at 7.74 s, the next two `run_placed` at 9.72 s, and only calls
+/// for advice in between, with capacity for 48 tasks free on 20 workers.
 #[test]
 fn a_step_at_fault_hears_soon_of_its_first_task() {
     play(45);
--- a/components/dispatch/tests/lives.rs
+++ b/components/dispatch/tests/lives.rs
@@ -1,6 +1,6 @@
-//! The log held workers without when they were born, and they began to say so. A worker may have started again under
-//! its name before that, so the number of the last end that the log holds may be of a life before: of one such worker ends 1 to
-//! 4 were never told of, and what had ended ran again.
+//! Tests of workers that the log holds without a start time, and which then begin to announce one. Such a worker may
+//! have been restarted under its name before that, so the number of the last end that the log holds may be of an
+//! earlier incarnation: with one such worker ends 1 to 4 were never processed, and tasks that had ended ran again.
 
 mod common;
 
@@ -19,8 +19,8 @@
     life.0.as_ref()
 }
 
-/// A dispatcher with one worker that does not say when it was born, on which a job of two tasks runs and four ends
-/// are in the log.
+/// Returns a dispatcher with one worker that does not announce its start time, on which a job of two tasks runs and
+/// of which four ends are in the log.
 fn with_a_job_that_runs() -> Bench {
     let mut b = Bench::new("");
     b.join("w", 8);
@@ -37,30 +37,30 @@
     b
 }
 
-/// What the worker announces of this life, at the address that all its lives have.
+/// Returns the announcement of an incarnation, at the address that all incarnations of the worker have.
 fn news_of(life: &WorkerId, number: u64) -> WorkerNews {
     let mut news = WorkerNews { number, ..news(name(life), 8) };
     news.info.address = "w:1".into();
     news
 }
 
-/// Has the worker say when it was born.
+/// Has the worker announce its start time.
 fn announce(b: &mut Bench, life: &WorkerId, number: u64) {
     b.feed(Input::News(news_of(life, number)));
     b.commit();
 }
 
-/// Has it answer the renewal that named no birth.
+/// Has the worker answer the renewal that named no start time.
 fn answer(b: &mut Bench, life: &WorkerId) {
     let (worker, sent_at) = (worker("w"), b.now);
     b.feed(Input::Renewed { worker, sent_at, result: Err(CallError::Named(life.clone())) });
     b.commit();
 }
 
-/// Both ways by which a birth becomes known.
+/// The two ways by which a start time becomes known.
 const WAYS: [fn(&mut Bench, &WorkerId); 2] = [|b, l| announce(b, l, 9), answer];
 
-/// The same dispatcher once the life is known, with how many starts there were until then.
+/// Returns the same dispatcher once the incarnation is known, with how many starts there were until then.
 fn once_learnt(learn: fn(&mut Bench, &WorkerId)) -> (Bench, WorkerId, usize) {
     let (mut b, life) = (with_a_job_that_runs(), life(BORN));
     let starts = b.starts().len();
@@ -85,7 +85,7 @@
     }
 }
 
-/// The life that answers numbers its ends from one, though the log holds number four.
+/// The incarnation that answers numbers its ends from one, though the log holds number four.
 #[test]
 fn ends_of_a_life_that_began_unnoticed_are_taken_note_of() {
     for learn in WAYS {
@@ -109,7 +109,8 @@
     }
 }
 
-/// A start without an answer as the birth becomes known is settled with the life that answers.
+/// A start that is unanswered when the start time of the worker becomes known is settled with the incarnation that
+/// answers.
 #[test]
 fn a_start_under_way_is_sent_again_to_the_life_that_answers() {
     let mut b = Bench::new("");
@@ -121,11 +122,12 @@
     b.pass(Millis(20));
     b.report(name(&life(BORN)), vec![], vec![]);
     b.pass(Millis(20));
-    assert_eq!(b.starts().len(), 2, "the same run, once more");
+    assert_eq!(b.starts().len(), 2, "the same run is started again");
     assert!(b.starts().iter().all(|(_, order)| order.run == 1));
 }
 
-/// It started again at another address before it said when it was born: what the log holds is a life that is over.
+/// The worker was restarted at another address before it announced its start time: the log holds an incarnation that
+/// is over.
 #[test]
 fn a_life_at_another_address_is_called_there() {
     let (mut b, life) = (with_a_job_that_runs(), life(BORN));
@@ -138,7 +140,7 @@
     assert!(b.committed.worker(&worker("w")).is_some(), "until its lease is over");
 }
 
-/// A worker that is known by both ids gets nothing new by the one without a birth.
+/// A worker that is known by both ids gets nothing new under the one without a start time.
 #[test]
 fn an_id_without_a_birth_is_given_up_where_the_life_is_known() {
     let mut b = with_a_job_that_runs();
@@ -152,7 +154,8 @@
     assert_eq!(b.starts().len(), starts, "nobody that may be called has reported yet");
 }
 
-/// An instance that does not read births yet passes on announcements without them: two ids would be one worker twice.
+/// An instance of an older version passes on announcements without the start time: with two ids the same worker would
+/// count twice.
 #[test]
 fn announcements_without_the_birth_make_no_second_worker_of_one_that_is_known() {
     let mut b = Bench::new("");
@@ -170,9 +173,9 @@
     announce(&mut b, &first, 1);
     b.report(name(&first), vec![], vec![]);
     b.feed(Input::News(leaving));
-    // Its wall clock was set back meanwhile.
+    // Its wall clock was set back in the meantime.
     announce(&mut b, &next, 1);
-    // What the life before said as it ended comes late, and does not say which life it was.
+    // The last announcement of the earlier incarnation comes late, and does not name the incarnation.
     b.feed(Input::Left(worker("w")));
     let sent_at = b.now;
     let over = Err(CallError::Refused(dispatch::Refusal::OtherLife));
@@ -201,5 +204,8 @@
     b.submit(1, spec(vec![step(1)]));
     b.commit();
     let deadlines: Vec<Millis> = b.starts().iter().map(|(_, order)| order.deadline).collect();
-    assert!(deadlines.iter().all(|d| *d < Millis(100_000)), "by its own clock: {deadlines:?}");
+    assert!(
+        deadlines.iter().all(|d| *d < Millis(100_000)),
+        "deadlines go by the clock of the incarnation: {deadlines:?}"
+    );
 }
--- a/components/dispatch/tests/loads.rs
+++ b/components/dispatch/tests/loads.rs
@@ -1,8 +1,8 @@
-//! Each load pattern at its worst, replayed on the dispatcher with a fleet around it.
+//! Each load pattern at its worst, simulated on the dispatcher with a fleet around it.
 //!
-//! In every pattern and at every step [`common::watch`] checks that nothing accepted stands without a run
-//! while its workers have room, and that no worker is over its room; in the end every job must be done.
-//! `--nocapture` prints the waits from hand-in to first start.
+//! In every pattern and at every step [`common::watch`] checks that no accepted task waits for long while its workers
+//! have free capacity, and that no worker is overcommitted; in the end every job must be done. `--nocapture` prints
+//! the waits from submission to first start.
 
 mod common;
 
@@ -14,19 +14,19 @@
 use model::Size;
 use workload::{EndKind, StepSpec, TaskKey, WorkerId};
 
-/// The seeds that each pattern is replayed with.
+/// The seeds with which each pattern is simulated.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
 const CORES: u64 = 8;
 /// How long the everyday mix runs before the pattern begins.
 const WARM_UP: Millis = Millis(4_000);
-/// For how long a task that lasts may be away where there is room for it.
+/// The longest time for which a long-running task may be without a run while there is capacity for it.
 const LONGEST_RESTART: Millis = Millis(3_000);
 
 fn worker_size() -> Size {
     Size::new(CORES * 1_000, CORES * 2_000, 0)
 }
 
-/// A fleet of 48 workers in three zones, with some tasks that last.
+/// Returns a fleet of 48 workers in three zones, with some long-running tasks.
 fn fleet(seed: u64, callers: usize) -> Fleet {
     let mut f = Fleet::new(seed, callers);
     f.join("w", 48, worker_size());
@@ -37,14 +37,14 @@
     f
 }
 
-/// What may be asked of the waits of one kind of job, in milliseconds.
+/// The bounds of the waits of one kind of job, in milliseconds.
 struct Bound {
     kind: Kind,
     p95: u64,
     longest: u64,
 }
 
-/// Gives the wait that 95 of 100 jobs of a kind stay below, and the longest one.
+/// Returns the 95th percentile of the waits of the jobs of a kind, and the longest wait.
 fn waits(f: &Fleet, kind: Kind) -> (Millis, Millis) {
     let waits = f.waits(kind);
     let p95 = waits.get(waits.len() * 95 / 100).or(waits.last());
@@ -59,11 +59,14 @@
             println!("{pattern}: {kind:?} {jobs} jobs, p95 {} ms, longest {} ms", p95.0, longest.0);
         }
     }
-    println!("{pattern}: longest wait beside room {} ms", f.watch.longest.0);
-    println!("{pattern}: a task that lasts was away for {} ms at most", f.away.longest.0);
+    println!("{pattern}: longest wait despite free capacity {} ms", f.watch.longest.0);
+    println!(
+        "{pattern}: a long-running task was without a run for {} ms at most",
+        f.away.longest.0
+    );
 }
 
-/// Lets the fleet come to rest, and checks how long jobs have waited.
+/// Waits until the fleet is idle, and checks how long jobs have waited.
 fn finish(mut f: Fleet, pattern: &str, bounds: &[Bound]) {
     f.settle(Millis(120_000));
     print(&f, pattern);
@@ -91,8 +94,8 @@
     Bound { kind: Kind::Wide, p95: longest, longest }
 }
 
-/// Quick jobs at twice the room on top of batch jobs at twice the room. Half of the quick work must wait
-/// for the burst to be over, none of it for the batch jobs behind it.
+/// Quick jobs at twice the capacity on top of batch jobs at twice the capacity. Half of the quick work must wait for
+/// the burst to be over, none of it for the batch jobs behind it.
 #[test]
 fn two_bursts_one_on_the_other() {
     for seed in SEEDS {
@@ -105,8 +108,8 @@
     }
 }
 
-/// One worker in seven says that it leaves and ends two seconds later. Tasks that it takes with it wait for
-/// its lease, the others must not wait with them.
+/// One worker in seven announces that it leaves and ends two seconds later. Tasks that are lost with it wait for its
+/// lease to run out; the others must not wait with them.
 #[test]
 fn a_seventh_of_the_workers_leave_at_short_notice() {
     for seed in SEEDS {
@@ -122,7 +125,7 @@
     }
 }
 
-/// Every lease runs out, and all that callers kept back comes at once, before any worker was heard.
+/// Every lease runs out, and all jobs that callers held back come at the same time, before any worker was in contact.
 #[test]
 fn no_leader_for_six_seconds() {
     for seed in SEEDS {
@@ -137,7 +140,7 @@
     }
 }
 
-/// A third of the workers is out of reach for longer than a lease, and their work joins what waits.
+/// A third of the workers is unreachable for longer than a lease, and their tasks join those that wait.
 #[test]
 fn a_zone_is_cut_off_at_full_load() {
     for seed in SEEDS {
@@ -153,13 +156,13 @@
     }
 }
 
-/// A step that is always open must not keep later ones from the room that comes.
+/// A step that is always open must not keep later ones from capacity that becomes free.
 #[test]
 fn steps_wider_than_the_room_before_other_work() {
     for seed in SEEDS {
         let mut f = fleet(seed, 12);
         f.pass(Millis(2_000));
-        // Two of these fit on a worker, and some 32 workers are allowed.
+        // Two of these tasks fit on a worker, and some 32 workers are allowed.
         let size = Size::new(CORES * 500, CORES * 1_000, 0);
         let too_wide = StepSpec { size, estimate: Millis(2_000), ..step(200) };
         for _ in 0..3 {
@@ -170,14 +173,14 @@
     }
 }
 
-/// A step that holds much of a worker for long.
+/// Returns a step whose tasks hold half of a worker for long.
 fn lengthy(label: &str, estimate: Millis) -> StepSpec {
     let size = Size::new(CORES * 500, CORES * 1_000, 0);
     let constraint = Some(label.into());
     StepSpec { size, constraint, estimate, ..step(4) }
 }
 
-/// Hands in 150 steps for some workers at once, and after a while jobs for others that stay nearly empty.
+/// Submits 150 steps for some workers at once, and after a while jobs for others that stay nearly idle.
 fn hand_in_behind_many_steps(f: &mut Fleet, estimate: Millis, after: Millis, pause: Millis) {
     f.join("free", 12, worker_size());
     f.pass(Millis(2_000));
@@ -186,7 +189,7 @@
     }
     let mut quick_jobs = Mix::new(0.03, 0.0, 0.0);
     quick_jobs.play(f, after);
-    // With so much time to spare they come after all steps that wait for room.
+    // With so much slack these jobs come after all steps that wait for capacity.
     let estimate = Millis(12_000);
     let free = StepSpec { constraint: Some("free".into()), estimate, ..step(2) };
     for _ in 0..10 {
@@ -196,8 +199,8 @@
     quick_jobs.play(f, Millis(3_000));
 }
 
-/// Steps that wait for room want more calls for advice than can be made, those for which room comes half of
-/// them. Jobs whose workers are free need one call each.
+/// Steps that wait for capacity want more calls for advice than can be made, and those for which capacity becomes
+/// free want half of them. Jobs whose workers are free need one call each.
 #[test]
 fn many_steps_wait_for_advice() {
     for seed in SEEDS {
@@ -208,14 +211,14 @@
     }
 }
 
-/// Gives the tasks that last and run on some worker.
+/// Returns the long-running tasks that run, with their workers.
 fn lasting(f: &Fleet) -> Vec<(WorkerId, TaskKey)> {
     let on =
         |(id, h): (&WorkerId, &Host)| h.lasting().map(|key| (id.clone(), key)).collect::<Vec<_>>();
     f.hosts.iter().flat_map(on).collect()
 }
 
-/// Lets one of the tasks that last fail.
+/// Makes one of the long-running tasks fail.
 fn fail_one(f: &mut Fleet) -> TaskKey {
     let running = lasting(f);
     let at = f.below(running.len() as u64) as usize;
@@ -227,11 +230,11 @@
     *task
 }
 
-/// Lets tasks that last fail one after the other behind steps that wait for full workers, beside quick
-/// jobs at a share of the room.
+/// Makes long-running tasks fail one after the other behind steps that wait for full workers, beside quick jobs at a
+/// fraction of the capacity.
 fn fail_behind_a_backlog(seed: u64, quick_share: f64) {
     let mut f = fleet(seed, 6);
-    // There is always room on these, where the backlog may not go.
+    // There is always free capacity on these workers, where the backlog may not run.
     f.join("keep", 12, worker_size());
     f.pass(Millis(2_000));
     for _ in 0..12 {
@@ -252,21 +255,21 @@
         let running = lasting(&f);
         failed.retain(|(_, task)| !running.iter().any(|(_, t)| t == task));
         let late = failed.iter().find(|(at, _)| f.bench.now.since(*at) > LONGEST_RESTART);
-        assert_eq!(late, None, "seed {seed}: a task that lasts is not started again");
+        assert_eq!(late, None, "seed {seed}: a long-running task is not started again");
     }
     f.pass(LONGEST_RESTART);
     assert_eq!((all, lasting(&f).len()), (48, 48), "seed {seed}: all run again");
-    finish(f, "tasks that last", &[quick(200, 500), wide(30_000)]);
+    finish(f, "long-running tasks", &[quick(200, 500), wide(30_000)]);
 }
 
-/// Tasks that last must get their calls for advice before the steps that wait for room.
+/// Long-running tasks must get their calls for advice before the steps that wait for capacity.
 #[test]
 fn tasks_that_last_fail_behind_a_backlog() {
     SEEDS.for_each(|seed| fail_behind_a_backlog(seed, 0.1));
 }
 
-/// Two failures that lie long apart say nothing of a worker whose tasks never end otherwise. What lasts there
-/// must not wait for it as for one that fails task after task.
+/// Two failures that lie far apart are no sign of a faulty worker whose tasks never end otherwise. Its long-running
+/// tasks must not be held back as on a worker that fails task after task.
 #[test]
 fn a_task_that_lasts_is_started_again_where_another_one_failed_long_before() {
     let mut f = Fleet::new(1, 2);
--- a/components/dispatch/tests/organisations.rs
+++ b/components/dispatch/tests/organisations.rs
@@ -1,4 +1,4 @@
-//! Keys, owners and limits of organisations, as callers and workers meet them.
+//! Tests of keys, owners and limits of organisations, as callers and workers see them.
 
 mod common;
 
@@ -90,12 +90,12 @@
     b.join("w1", 4);
     submit_to(&mut b, with_key("key-a"), PATH);
     b.publish(2, "org=a:4000:1: org=b:0:1:key-b,key-a");
-    // An answer that rests on the new configuration waits until that is committed.
+    // An answer that depends on the new configuration waits until the configuration is committed.
     let look = b.call_with(with_key("other-a"), PATH, Verb::Look);
     assert_eq!(b.answer(look), None);
     b.commit();
     assert_eq!(b.answer(look), Some(&Answer::NoKey));
-    // The key is another organisation's now, and the job is not.
+    // The key now belongs to another organisation, and the job does not.
     let look = b.call_with(with_key("key-a"), PATH, Verb::Look);
     assert_eq!(b.answer(look), Some(&Answer::NoJob));
     assert_eq!(b.starts().len(), 1);
@@ -114,7 +114,7 @@
     assert_eq!(b.answer(unknown), Some(&Answer::NoKey));
 }
 
-/// Load pattern: one organisation hands in more than it may have running, on a fleet with room for all of it.
+/// Load pattern: one organisation submits more than it may have running, on a fleet with capacity for all of it.
 #[test]
 fn no_more_runs_than_the_limit_and_the_rest_follows_as_runs_end() {
     let mut b = Bench::new(TWO);
@@ -132,7 +132,7 @@
     assert_eq!(b.starts().len(), 11);
 }
 
-/// What is placed and taken back would fill the log with both at every plan.
+/// Tasks that are placed and withdrawn again would fill the log with both at every plan.
 #[test]
 fn a_plan_places_no_more_than_the_limit() {
     let mut b = Bench::new(TWO);
@@ -153,7 +153,7 @@
     b.join("w2", 16);
     b.submit_with("key-a", "/q/00000000000000bb", spec(vec![step(4)]));
     b.commit();
-    // Where the first three run is not heard of again yet.
+    // The worker that runs the first three has not reported to the new leader yet.
     assert_eq!(b.starts().len(), 1);
 }
 
@@ -223,8 +223,8 @@
     assert_eq!(b.committed.jobs().len(), usize::from(taken));
 }
 
-/// Load pattern: an organisation at its limit has hundreds of steps waiting before those of the others. They take
-/// no calls for advice, keep no room free and hold nobody up.
+/// Load pattern: an organisation at its limit has hundreds of steps waiting before those of the others. They take no
+/// calls for advice, reserve no capacity and hold nobody up.
 #[test]
 fn what_waits_for_its_limit_takes_neither_calls_nor_looks_nor_room() {
     let mut b = Bench::new("advice, long org=a:1000:1:key-a org=b:0:1:key-b");
@@ -244,7 +244,7 @@
     b.submit_with("key-b", "/bulk/00000000000000bb", spec(vec![step(1)]));
     b.commit();
     b.pass(Millis(50));
-    assert_eq!(b.asks(None).len(), 2, "only those on what may start");
+    assert_eq!(b.asks(None).len(), 2, "calls are made only for steps that may start");
     let ask = b.asks(Some(0xbb))[0].clone();
     b.advise(&ask, &["w1"]);
     b.pass(Millis(50));
--- a/components/dispatch/tests/overfull.rs
+++ b/components/dispatch/tests/overfull.rs
@@ -1,10 +1,11 @@
-//! On a fleet that is asked for more than it has, new tasks that last do not come before everybody else.
+//! On an overloaded fleet, new long-running tasks must not come before all other work.
 //!
-//! Tasks that last and waited for a second came before all other work, whether or not they had ever run, and the whole step
-//! of one that did. Where more of them came than there was room for, each bit of room that came free went to them or was
-//! kept for them, and quick jobs found a worker after 17 to 20 s, a quarter of them too late: on a day with a quarter more
-//! traffic than the fleet can take, 95 of 100 first starts came within 18.5 s, and 268 of 579 quick requests failed.
-//! Those that have run and lost their run come first as before, which [`common::away`] checks at each step.
+//! Long-running tasks that had waited for a second came before all other work, whether or not they had ever run, and
+//! with one of them its whole step. Where more of them came than there was capacity for, all capacity that became
+//! free went to them or was reserved for them. Quick jobs found a worker after 17 to 20 s, a quarter of them too
+//! late: on a simulated day with a quarter more traffic than the fleet can take, 95 of 100 first starts came within
+//! 18.5 s, and 268 of 579 quick requests failed. Those that have run and lost their run still come first, which
+//! [`common::away`] checks at each step.
 
 mod common;
 
@@ -16,13 +17,13 @@
 use rstest::rstest;
 use workload::StepSpec;
 
-/// Within what time 95 of 100 quick jobs start for the first time, as they did before any task came first: callers wait
-/// for three seconds and come back.
+/// The time within which 95 of 100 quick jobs start for the first time, as they did before any task came first.
+/// Callers wait for three seconds and come back.
 const FIRST_STARTS: Millis = Millis(4_400);
-/// For how long new tasks that last come, more than there is room for.
+/// How long new long-running tasks come, more than there is capacity for.
 const PRESSED: Millis = Millis(25_000);
 
-/// Hands in tasks that last, one job each so often, of which every eighth fails of itself now and then.
+/// Submits jobs of long-running tasks at a steady rate. Every eighth has a task that fails by itself now and then.
 fn press(f: &mut Fleet, mix: &mut Mix) {
     let until = f.bench.now + PRESSED;
     let mut handed_in = 0;
@@ -53,6 +54,6 @@
     let handed_in = f.jobs.values().filter(|j| j.kind == Kind::Quick).count();
     let at = handed_in * 95 / 100;
     let p95 = waits.get(at).copied().unwrap_or(PRESSED);
-    println!("seed {seed}: p95 {p95:?}, lasting away {:?}", f.away.longest);
+    println!("seed {seed}: p95 {p95:?}, long-running tasks without a run for {:?}", f.away.longest);
     assert!(p95 <= FIRST_STARTS, "seed {seed}: 95 of 100 quick jobs started within {p95:?}");
 }
--- a/components/dispatch/tests/placing.rs
+++ b/components/dispatch/tests/placing.rs
@@ -1,4 +1,4 @@
-//! On which workers the tasks of a step may run, and from when on.
+//! Tests of where the tasks of a step may run, and from when on.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use model::Size;
 use workload::{EndKind, JobSpec, StepSpec, WorkerId};
 
-/// Lets a worker with labels join.
+/// Has a worker with labels join.
 fn join_labelled(b: &mut Bench, name: &str, cores: u64, labels: &[&str]) {
     let mut news = news(name, cores);
     news.info.labels = labels.iter().map(|l| (*l).into()).collect();
@@ -44,7 +44,7 @@
     b.commit();
     b.pass(Millis(100));
     assert_eq!(count_by_worker(&b), [(worker("w1"), 1), (worker("w2"), 1)].into());
-    // Another start on the worker of an ended one is within the limit.
+    // Another start on the worker of an ended task is within the limit.
     let (first, _) = b.starts().remove(0);
     let key = b.starts()[0].1.task;
     b.started(&first.0, key, 1, Ok(()));
@@ -143,7 +143,7 @@
     assert_eq!(b.starts()[0].1.task, task(2, 0, 0));
 }
 
-/// Lets a worker with accelerators join.
+/// Has a worker with accelerators join.
 fn join_with_accelerators(b: &mut Bench, name: &str, accelerators: u64) {
     let mut news = news(name, 32);
     news.info.capacity.accelerators = accelerators;
--- a/components/dispatch/tests/probes.rs
+++ b/components/dispatch/tests/probes.rs
@@ -1,14 +1,14 @@
-//! A step whose tasks have crashed their workers goes on with one task, and hardly anything is learnt from it at first.
-//! The others follow as soon as it seems well, or as nothing can be learnt from it, and all come to their end.
+//! A step whose tasks have crashed their workers goes on with one task, from which little is learnt at first. The
+//! others must follow as soon as it seems healthy, or as soon as nothing can be learnt from it, and all must end.
 //!
-//! Five workers are lost at once with a task each of one step that is at fault in nothing. One task started again, and
-//! the others waited until it was two seconds old and then until the next ones were, or, if its worker was cut off
-//! meanwhile, for as long as nothing was heard of that. The log of one such run, in milliseconds:
+//! Five workers are lost at the same time, each with a task of one healthy step. One task started again. The others
+//! waited until it was two seconds old and then until the next ones were, or, if its worker was cut off meanwhile,
+//! until that worker was in contact again. The log of one such run, in milliseconds:
 //!
 //!     1005530 run_placed 0000000000000001.0.0.0 run=2 worker=w01
-//!     1006550 the worker is cut off; nothing is placed up to 1008120, when the others have stood for three seconds
+//!     1006550 the worker is cut off; nothing is placed up to 1008120, when the others have waited for three seconds
 //!
-//! [`common::watch`] tells at each step if a task stands beside room for three seconds.
+//! [`common::watch`] fails the test if a task waits for three seconds while workers have free capacity.
 
 mod common;
 
@@ -20,7 +20,8 @@
 use rstest::rstest;
 use workload::{JobState, StepSpec, WorkerId};
 
-/// When the worker of the first task is cut off, counted from the task's start, and whether it is heard of again.
+/// `cut_after` is when the worker of the first task is cut off, counted from the task's start; `comes_back` is
+/// whether it is in contact again later.
 #[rstest]
 fn the_other_tasks_of_a_step_follow_its_first_one(
     #[values(None, Some(Millis(100)), Some(Millis(500)), Some(Millis(1_000)), Some(Millis(1_800)))]
@@ -52,7 +53,7 @@
     }
 }
 
-/// Waits until some task runs again; gives the workers that run any.
+/// Waits until some task runs again; returns the workers that run any.
 fn first_to_run(f: &mut Fleet) -> Vec<WorkerId> {
     let running = |f: &Fleet| f.workers(|h: &Host| !h.fake.running.is_empty());
     for _ in 0..900 {
--- a/components/dispatch/tests/restart_waves.rs
+++ b/components/dispatch/tests/restart_waves.rs
@@ -1,5 +1,5 @@
-//! Many workers start again at once, and again before what they ran has lived for long. No task is at fault, so no job
-//! may be given up; a task that is at fault among them must still be found.
+//! Many workers are restarted at the same time, and again while their runs are still young. No task is faulty, so no
+//! job may be given up; a task that is faulty must still be found among the restarts.
 
 mod common;
 
@@ -14,26 +14,26 @@
 use rstest::rstest;
 use workload::{JobId, JobState, MOST_CRASHES_AT_ALL, StepSpec, WorkerId};
 
-/// How many times workers start again in one series.
+/// How many times workers are restarted in one series.
 const WAVES: usize = 4;
 /// How many series there are.
 const SERIES: usize = 3;
 
-/// How many instances call for advice at least; there are more in larger fleets.
+/// How many instances call for advice at least; larger fleets have more.
 const FEWEST_CALLERS: usize = 12;
 
-/// From how many workers on a fleet is played with one seed only.
+/// The number of workers from which on a fleet is simulated with one seed only.
 const LARGE_FLEET: usize = 100;
 
-/// How many workers a fleet has, and how they start again.
+/// How many workers a fleet has, and how they are restarted.
 #[derive(Clone, Copy)]
 struct Restarts {
     workers: usize,
-    /// How many start again each time.
+    /// How many workers are restarted each time.
     hit: usize,
-    /// How long lies between two times.
+    /// The time between two waves.
     pause: Millis,
-    /// How long one time takes from its first worker to its last.
+    /// The time from the first worker of a wave to its last.
     spread: Millis,
 }
 
@@ -45,7 +45,7 @@
     f
 }
 
-/// Lets workers start again, evenly over the time that this takes.
+/// Restarts workers, evenly over the duration of a wave.
 fn wave(f: &mut Fleet, mix: &mut Mix, restarts: Restarts) {
     let mut usable = f.workers(Host::is_usable);
     usable.shuffle(&mut f.rng);
@@ -75,7 +75,7 @@
     f.jobs.keys().filter(failed).copied().collect()
 }
 
-/// Guards against jobs given up since their workers started again together, while their runs were young.
+/// Guards against jobs that are given up because their workers were restarted together while their runs were young.
 #[rstest]
 #[case::a_third_of_48(Restarts { workers: 48, hit: 16, pause: Millis(1_300), spread: Millis(0) })]
 #[case::a_sixth_of_48(Restarts { workers: 48, hit: 8, pause: Millis(1_300), spread: Millis(0) })]
@@ -106,8 +106,8 @@
     }
 }
 
-/// Guards against jobs given up since workers lost power together: calls to those run into their time limits one by one, so
-/// it is not known to the moment when each was lost.
+/// Guards against jobs that are given up because workers lost power together: calls to those workers time out one by
+/// one, so the exact moment of each loss is not known.
 #[rstest]
 fn no_job_that_is_well_is_given_up_as_workers_lose_power(#[values(1, 2, 3)] seed: u64) {
     let mut f = fleet(seed, 48);
@@ -131,7 +131,8 @@
     }
 }
 
-/// Guards against a task at fault that is never found since other workers start again: it takes down five at most.
+/// Guards against a faulty task that is never found because other workers are restarted: it may crash five workers at
+/// most.
 #[rstest]
 #[case::at_once(Fault::After(Millis(10)))]
 #[case::after_a_second(Fault::After(Millis(1_000)))]
--- a/components/dispatch/tests/room.rs
+++ b/components/dispatch/tests/room.rs
@@ -1,5 +1,5 @@
-//! Room for gangs and large tasks that wait: what is kept free for them, which runs are stopped for them,
-//! and who comes first.
+//! Tests of capacity for gangs and large tasks that wait: what is reserved for them, which runs are stopped for them,
+//! and which job comes first.
 
 mod common;
 
@@ -16,8 +16,8 @@
     StepSpec { checkpointing: true, ..step }
 }
 
-/// A dispatcher with two workers of eight cores, each of which runs a confirmed bulk task that takes
-/// `cores` and is `of` a kind.
+/// Returns a dispatcher with two workers of eight cores, each of which runs a confirmed bulk task that takes `cores`
+/// and is changed by `of`.
 fn with_bulk_work(of: impl Fn(StepSpec) -> StepSpec, cores: u64, estimate: Millis) -> Bench {
     let mut b = Bench::new("");
     b.join("w1", 8);
@@ -38,7 +38,7 @@
     b.submit(2, spec(vec![gang(2, 8)]));
     b.commit();
     assert_eq!(b.stops().len(), 2);
-    // They are stopped once, however often it is planned until they are gone.
+    // They are stopped once, however often the dispatcher plans until they are gone.
     b.pass(Millis(50));
     b.pass(Millis(50));
     assert_eq!(b.stops().len(), 2);
@@ -48,7 +48,7 @@
         b.commit();
     }
     let of_gang = b.starts().into_iter().filter(|(_, o)| o.task.step.job.0 == 2).count();
-    assert_eq!(of_gang, 2, "the room is the gang's, not that of the runs that had it");
+    assert_eq!(of_gang, 2, "the gang gets the capacity, not the runs that had it");
 }
 
 #[test]
@@ -93,7 +93,7 @@
     b.wall_behind = Millis(60_000);
     b.submit(2, spec(vec![gang(2, 8)]));
     b.commit();
-    assert!(b.stops().is_empty(), "the bulk job has as little time to spare as before");
+    assert!(b.stops().is_empty(), "the bulk job has as little slack as before");
 }
 
 #[test]
@@ -146,15 +146,15 @@
     assert!(b.stops().is_empty());
 }
 
-/// Has a bulk job wait for `waits` behind a full worker, then a more urgent one come; gives whose task
-/// starts first when there is room.
+/// Has a bulk job wait for `waits` behind a full worker, then a more urgent one come; returns whose task starts first
+/// when capacity becomes free.
 fn first_after(waits: Millis) -> u64 {
     let mut b = Bench::new("");
     b.join("w1", 8);
     b.submit(1, spec(vec![wide(1, 8)]));
     b.commit();
     b.started("w1", task(1, 0, 0), 1, Ok(()));
-    // May take 1.5 times ten seconds and 250 ms: it has 5,250 ms to spare.
+    // Its maximum time is 1.5 times ten seconds and 250 ms, so it has 5,250 ms of slack.
     b.submit_bulk(2, spec(vec![StepSpec { estimate: Millis(10_000), ..wide(1, 8) }]));
     b.commit();
     let until = b.now + waits;
--- a/components/dispatch/tests/rules.rs
+++ b/components/dispatch/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Single rules of the dispatcher, each with the failure that it is there for.
+//! Tests of single rules of the dispatcher. Each test guards against one failure.
 
 mod common;
 
@@ -181,7 +181,7 @@
     b.stay_silent("w1", "w2", lease - Millis(200));
     assert_eq!(b.starts().len(), 1, "the lease may still hold");
     b.stay_silent("w1", "w2", Millis(1_000));
-    assert_eq!(b.starts().len(), 2, "attempts to renew must not make the lease longer");
+    assert_eq!(b.starts().len(), 2, "renewal attempts must not extend the lease");
 }
 
 #[test]
@@ -192,7 +192,7 @@
     b.commit();
     b.started("w1", task(1, 0, 0), 1, DONE);
     b.renewal_fails("w1", SILENT());
-    // Late news of an earlier life that was at the same place.
+    // A late announcement of an earlier incarnation at the same address.
     let mut old = news("w0", 4);
     old.info.machine = news("w1", 4).info.machine;
     b.feed(Input::News(old));
@@ -246,7 +246,7 @@
     b.pass(Millis(500));
     b.started("w1", key, 1, Err(CallError::Refused(Refusal::Ticket)));
     b.commit();
-    assert_eq!(b.starts().len(), 2, "the first try may yet be carried out");
+    assert_eq!(b.starts().len(), 2, "the first start may still be carried out");
     assert_eq!(b.stops().len(), 1);
     b.stopped("w1", key, 1);
     b.pass(Millis(10));
@@ -264,7 +264,7 @@
     let mut next = Bench::take_over(b.committed.clone(), 2, b.now);
     next.pass(Millis(10));
     assert!(next.starts().is_empty());
-    // One of the two had arrived; the fence keeps the other out.
+    // One of the two starts had arrived; the fence keeps the other one out.
     next.report("w1", vec![row(task(1, 0, 0), 1)], vec![]);
     next.commit();
     next.report("w1", vec![row(task(1, 0, 0), 1)], vec![]);
@@ -386,7 +386,7 @@
     b.commit();
     b.pass(Millis(1_000));
     b.started("w1", task(1, 0, 0), 1, DONE);
-    // The end is taken in at once, the plan that it makes possible follows after a pause.
+    // The end is applied immediately; the plan that it makes possible follows after a pause.
     b.report("w1", vec![], vec![end(1, task(1, 0, 0), 1, EndKind::Done)]);
     b.commit();
     assert_eq!(b.committed.job(job(1)).map(|j| j.state), Some(JobState::Completed));
@@ -415,7 +415,7 @@
     assert_eq!(b.answer(state), Some(&Answer::State(JobState::Queued)));
 }
 
-/// A worker that failed for long may be the only one that a job can run on.
+/// A worker that failed for a long time may be the only one on which a job can run.
 #[test]
 fn a_worker_that_failed_again_and_again_is_tried_again_within_a_while() {
     let mut b = Bench::new("");
@@ -424,7 +424,7 @@
     for id in 1..=70 {
         b.submit(id, spec(vec![step(1)]));
         b.commit();
-        // Whatever it is given fails.
+        // Every run on the worker fails.
         while failed < b.starts().len() {
             let (key, run) = (b.starts()[failed].1.task, b.starts()[failed].1.run);
             failed += 1;
@@ -438,7 +438,7 @@
     b.pass(Millis(16_000));
     b.report("w1", vec![], vec![]);
     b.pass(Millis(10));
-    assert!(b.starts().len() > failed, "it gets something within 16 s");
+    assert!(b.starts().len() > failed, "the worker gets a task within 16 s");
 }
 
 #[test]
@@ -451,13 +451,13 @@
     b.commit();
     b.pass(Millis(100));
     let sent = b.starts().len();
-    assert!((200..=220).contains(&sent), "{sent} starts wait for an answer");
+    assert!((200..=220).contains(&sent), "{sent} starts are unanswered");
     for (worker, order) in b.starts() {
         b.started(&worker.0, order.task, 1, Ok(()));
     }
     b.commit();
     b.pass(Millis(100));
-    assert!(b.starts().len() > sent, "and as many more once they are confirmed");
+    assert!(b.starts().len() > sent, "more starts leave once the first ones are confirmed");
 }
 
 #[test]
@@ -475,7 +475,8 @@
     assert!(b.starts().iter().any(|(_, o)| o.task == task(2, 0, 0)));
 }
 
-/// Has a worker answer starts after `took` each, and gives for how long the next one is awaited.
+/// Has a worker answer each start after `took`, and returns how long the dispatcher waits for the answer to the next
+/// one.
 fn awaited_after(took: Millis) -> Millis {
     let mut b = Bench::new("");
     b.join("w1", 64);
@@ -574,8 +575,8 @@
     assert_eq!(book.worker(&worker("new")).map(|w| w.runs.len()), Some(4));
 }
 
-/// A worker that has stood aside gets one try, and none that would end its job if it failed. Where it is the only one,
-/// every task may be on its last attempt, and nothing else would ever show that the worker is well again.
+/// A worker that was quarantined gets one trial run, and none that would fail its job. Where it is the only worker,
+/// every task may be on its last attempt, and nothing else would ever show that the worker is healthy again.
 #[test]
 fn tasks_on_their_last_attempt_are_tried_on_the_only_worker_there_is() {
     let mut b = Bench::new("");
@@ -592,5 +593,5 @@
         b.pass(Millis(100));
         b.report("w1", vec![], vec![]);
     }
-    assert!(b.starts().len() > before, "it gets a try within 3 s");
+    assert!(b.starts().len() > before, "the worker gets a trial run within 3 s");
 }
--- a/components/dispatch/tests/schedules.rs
+++ b/components/dispatch/tests/schedules.rs
@@ -1,6 +1,6 @@
-//! Random schedules of a dispatcher over fake workers: answers lost, orders late, workers silent and
-//! restarted, leaders replaced. No task may run twice at once, start again once its end is noted, or
-//! take more than a worker has, and no organisation may have more running than its limit.
+//! Random schedules of a dispatcher over fake workers: answers lost, orders late, workers silent and restarted,
+//! leaders replaced. No task may run twice at the same time, start again once its end is committed, or take more than
+//! a worker has, and no organisation may have more running than its limit.
 
 mod common;
 
@@ -15,7 +15,7 @@
     for _ in 0..STEPS {
         world.step();
     }
-    // In the end everything that can be done is done, once no limit forbids it.
+    // In the end every job that can be done is done, once no limit forbids it.
     world.lift_limits();
     world.workers.values_mut().for_each(|w| w.silent = false);
     let lasting = world.bench.dispatcher.book().jobs().iter();
@@ -33,7 +33,11 @@
     }
     world.bench.commit();
     for (id, job) in world.bench.committed.jobs() {
-        assert!(job.state.is_final(), "{id} is {:?} after all is calm: {job:#?}", job.state);
+        assert!(
+            job.state.is_final(),
+            "{id} is {:?} after all faults have ended: {job:#?}",
+            job.state
+        );
     }
 }
 
--- a/components/dispatch/tests/silence.rs
+++ b/components/dispatch/tests/silence.rs
@@ -1,4 +1,4 @@
-//! A zone that is cut off at full load takes little new work with it.
+//! A zone that is cut off at full load must take little new work with it.
 
 mod common;
 
@@ -9,7 +9,7 @@
 
 const WORKERS: usize = 12;
 
-/// Two zones of twelve workers each, named after their zone.
+/// Returns two zones of twelve workers each, whose names begin with that of their zone.
 fn two_zones() -> Bench {
     let mut b = Bench::new("");
     for n in 0..WORKERS {
@@ -27,7 +27,7 @@
     starts.iter().filter(|(w, _)| w.0.starts_with(zone)).count()
 }
 
-/// Leaves the starts on workers whose names begin so without an answer, and answers the others.
+/// Leaves the starts on workers whose names begin with `silent` unanswered, and answers the others.
 fn answer_but(b: &mut Bench, starts: &[(WorkerId, StartOrder)], silent: &str) {
     for (w, o) in starts {
         let result = if w.0.starts_with(silent) { Err(SILENT()) } else { Ok(()) };
@@ -66,7 +66,11 @@
     for id in 11..=16 {
         b.submit(id, spec(vec![step(4)]));
         b.commit();
-        assert_eq!(in_zone(&starts_of(&b, id), "a"), 0, "job {id} follows into the cut");
+        assert_eq!(
+            in_zone(&starts_of(&b, id), "a"),
+            0,
+            "job {id} is placed in the zone that is cut off"
+        );
         assert_eq!(starts_of(&b, id).len(), 4);
     }
 }
--- a/components/dispatch/tests/silent_suspects.rs
+++ b/components/dispatch/tests/silent_suspects.rs
@@ -1,4 +1,4 @@
-//! A step whose tasks have crashed their workers goes on with one of them, and that one's worker falls silent.
+//! A step whose tasks have crashed their workers goes on with one of them, and the worker of that task falls silent.
 
 mod common;
 
@@ -8,12 +8,13 @@
 use model::Size;
 use workload::StepSpec;
 
-/// Within what time a task starts beside room for it.
+/// The time within which a task starts while there is capacity for it.
 const LONGEST_WAIT: Millis = Millis(3_000);
 
-/// Five workers are lost at once with a task each of one step, which is at fault in nothing. Its first task to start
-/// again is cut off with its worker before it has shown that it is well. Nobody learns anything from it until its lease
-/// is over, so the others must not wait for that: [`common::watch`] tells if they stand beside room for three seconds.
+/// Five workers are lost at the same time, each with a task of one healthy step. The first task to start again is cut
+/// off with its worker before it has shown that it is healthy. Nothing is learnt from it until its lease is over, so
+/// the others must not wait for that: [`common::watch`] fails the test if they wait for three seconds while workers
+/// have free capacity.
 #[test]
 fn a_step_does_not_wait_beside_room_for_a_task_on_a_silent_worker() {
     let mut f = Fleet::new(1, 6);
--- a/components/dispatch/tests/spread.rs
+++ b/components/dispatch/tests/spread.rs
@@ -1,4 +1,4 @@
-//! Over which availability zones the tasks of a job go.
+//! Tests of the availability zones in which the tasks of a job are placed.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use common::{Bench, job, spec, step};
 use workload::StepSpec;
 
-/// Three zones of two workers each, named after their zone.
+/// Returns three zones of two workers each, whose names begin with that of their zone.
 fn three_zones() -> Bench {
     let mut b = Bench::new("");
     for zone in ["a", "b", "c"] {
@@ -17,7 +17,7 @@
     b
 }
 
-/// Gives the zones in which tasks of a job were started.
+/// Returns the zones in which tasks of a job were started.
 fn zones_of(b: &Bench, id: u64) -> BTreeSet<char> {
     let starts = b.starts();
     let own = starts.iter().filter(|(_, order)| order.task.step.job == job(id));
@@ -34,7 +34,7 @@
     let zones: Vec<BTreeSet<char>> = (1..=3).map(|id| zones_of(&b, id)).collect();
     assert!(zones.iter().all(|z| z.len() == 1), "{zones:?}");
     let all: BTreeSet<char> = zones.into_iter().flatten().collect();
-    assert_eq!(all.len(), 3, "jobs go where most room is");
+    assert_eq!(all.len(), 3, "jobs go to the zone with the most free capacity");
 }
 
 #[test]
--- a/components/dispatch/tests/starvation.rs
+++ b/components/dispatch/tests/starvation.rs
@@ -1,15 +1,15 @@
 //! Work that can start must not wait behind work that cannot.
 //!
-//! Two accepted jobs stood for half a minute without a run while less than half of the workers' room was
-//! taken. A backlog of more urgent steps waited for other workers, which were all full. Each of those steps
-//! had its tickets renewed every two seconds, to have them at hand when room came, and calls for advice
-//! were handed out by urgency alone: all instances that may make long calls were busy with renewals, and
-//! the two jobs, which needed one call each, got none. In the midst of it `load_told` said
+//! Two accepted jobs waited for half a minute without a run while less than half of the workers' capacity was in use.
+//! A backlog of more urgent steps waited for other workers, which were all full. Each of those steps had its tickets
+//! renewed every two seconds, to have them at hand when capacity became free, and calls for advice were made in order
+//! of urgency alone: all instances that may make long calls were busy with renewals, and the two jobs, which needed
+//! one call each, got none. Meanwhile `load_told` logged
 //!
 //!     cpu_milli=547250/2144000 memory_mb=1082912/7208960 runs=78 open_steps=61 unsettled=0 workers=47/47
 //!
-//! Of 256 calls in 12 s 134 were for steps of which no task started, and the jobs' runs were placed 150 to
-//! 250 ms after the first `advice_asked` that named them.
+//! Of 256 calls in 12 s, 134 were for steps of which no task started, and the jobs' runs were placed 150 to 250 ms
+//! after the first `advice_asked` that named them.
 
 mod common;
 
@@ -25,24 +25,24 @@
 
 /// How long a call for advice takes, as the queues' policy says.
 const CALL: Millis = Millis(430);
-/// By how much one call differs from the next where instances must not come free all at once, and after
-/// how many calls that begins anew.
+/// By how much one call is longer than the one before, where instances must not all become free at the same time, and
+/// after how many calls the first duration comes again.
 const CALL_STEP: u64 = 10;
 const CALL_STEPS: u64 = 17;
 /// How often every worker reports, well within its lease.
 const REPORT: Millis = Millis(500);
 
-/// A dispatcher whose calls for advice and starts are answered, and whose runs go on for ever.
+/// A dispatcher whose calls for advice and starts are answered, and whose runs never end.
 struct Fleet {
     bench: Bench,
     workers: Vec<String>,
     running: BTreeMap<WorkerId, Vec<RunRow>>,
-    /// How many of the calls for advice and of the starts were taken in.
+    /// How many of the calls for advice and of the starts were processed.
     asks_seen: usize,
     starts_seen: usize,
     under_way: Vec<(Millis, AdviceAsk)>,
     report_at: Millis,
-    /// After how many calls for advice one takes as long again as the first; one if all take as long.
+    /// After how many calls for advice the first duration comes again; one if all take equally long.
     call_steps: u64,
 }
 
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Lets workers join that bear a label.
+    /// Has workers with a label join.
     fn join(&mut self, label: &str, count: usize, capacity: Size) {
         for _ in 0..count {
             let name = format!("{label}-{}", self.workers.len());
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Everybody who was asked about is allowed.
+    /// Allows every worker that was asked about.
     fn answer_asks(&mut self) {
         let asks = self.bench.asks(None).split_off(self.asks_seen);
         self.asks_seen += asks.len();
@@ -128,7 +128,7 @@
     }
 }
 
-/// A task that has all the time it may want, on workers with a label.
+/// Returns a step of one task with a generous estimate, for workers with a label.
 fn lengthy(label: &str, size: Size) -> StepSpec {
     StepSpec { constraint: Some(label.into()), size, estimate: Millis(20_000), ..step(1) }
 }
@@ -144,13 +144,13 @@
     }
     f.pass(Millis(8_000));
     let started = (1..=40).filter(|id| f.has_started(*id)).count();
-    assert_eq!(started, 4, "the others wait for room");
+    assert_eq!(started, 4, "the others wait for capacity");
     f.bench.submit_bulk(99, spec(vec![lengthy("free", Size::new(4_000, 4_000, 0))]));
     f.pass(Millis(2_000));
     assert!(f.has_started(99), "a free call and its answer take less than a second");
 }
 
-/// A plan looks at a bounded number of open steps. What lies behind them must have its turn all the same.
+/// A plan examines a bounded number of open steps. Those behind them must still get their turn.
 #[test]
 fn a_backlog_longer_than_a_plan_looks_at_does_not_hide_a_job_whose_workers_are_free() {
     let whole = Size::new(16_000, 32_000, 8);
@@ -165,7 +165,7 @@
     assert!(f.has_started(999));
 }
 
-/// The rounds of a timed job are all known when it is accepted. Those that are not due are not work that waits.
+/// The rounds of a timed job are all known when it is accepted. Rounds that are not due are not waiting work.
 #[test]
 fn rounds_that_are_not_due_yet_do_not_hide_other_work() {
     let mut f = Fleet::new("", 0);
@@ -184,8 +184,8 @@
     assert!(!f.has_started(1));
 }
 
-/// Room is kept free for a bounded number of large tasks in a plan. Those that wait for some workers must not
-/// use that up for tasks on others: small tasks would take each part of the room there as it comes.
+/// A plan reserves capacity for a bounded number of large tasks. Those that wait for some workers must not use that
+/// up for tasks on others: small tasks would take all capacity there as it becomes free.
 #[test]
 fn large_tasks_that_wait_for_full_workers_leave_room_to_be_kept_for_one_elsewhere() {
     let whole = Size::new(16_000, 32_000, 8);
@@ -201,10 +201,11 @@
     f.bench.submit_bulk(51, spec(vec![lengthy("other", part)]));
     f.pass(Millis(1_000));
     assert!(f.has_started(1) && !f.has_started(50));
-    assert!(!f.has_started(51), "it would take the room that the earlier task waits for");
+    assert!(!f.has_started(51), "it would take the capacity that the earlier task waits for");
 }
 
-/// A gang needs room for all of its tasks at once. Some room for it is not a reason to ask before others.
+/// A gang needs capacity for all of its tasks at the same time. Capacity for some of them is no reason to ask for
+/// advice before others.
 #[test]
 fn gangs_that_find_room_for_a_part_only_leave_calls_for_advice_to_others() {
     let whole = Size::new(16_000, 32_000, 8);
@@ -221,7 +222,8 @@
     assert!(f.has_started(99));
 }
 
-/// Steps that wait for room are asked for last, so room that comes where they hold no ticket has to be found.
+/// Calls for steps that wait for capacity are made last, so capacity on workers for which the steps hold no ticket
+/// still has to be found.
 #[test]
 fn a_worker_that_joins_is_found_by_a_backlog_that_waits_for_room() {
     let whole = Size::new(16_000, 32_000, 8);
@@ -237,8 +239,8 @@
     assert_eq!(started, 5);
 }
 
-/// A burst, or a new leader, knows of no step yet whether it waits for room, and a plan has few looks. While
-/// some steps were not looked at, no call may go to those that were and wait.
+/// After a burst, or with a new leader, it is not yet known of any step whether it waits for capacity, and a plan has
+/// a small examination budget. While some steps were not examined, no call may go to those that were and wait.
 #[rstest]
 #[case::few_callers(3)]
 #[case::more_callers(6)]
@@ -263,8 +265,8 @@
     assert!(f.has_started(999));
 }
 
-/// Tasks that want whole workers have room kept free for them until what runs there has ended. Kept free on all
-/// workers at once, it would hold up everything else on a fleet that is nearly idle.
+/// Tasks that need whole workers have capacity reserved for them until what runs there has ended. Reserved on all
+/// workers at the same time, it would hold up everything else on a fleet that is nearly idle.
 #[test]
 fn room_kept_free_for_large_tasks_is_a_part_of_all_room() {
     let whole = Size::new(16_000, 32_000, 8);
@@ -281,12 +283,12 @@
     f.bench.submit_bulk(99, spec(vec![lengthy("some", small)]));
     f.pass(Millis(1_000));
     assert!((1..=20).all(|id| f.has_started(id)));
-    assert!(f.has_started(99), "an eighth of the room is taken");
+    assert!(f.has_started(99), "an eighth of the capacity is in use");
 }
 
-/// Before a call is made for a step that waits for room, the steps behind it that could start must have been
-/// looked at. A plan looks for whom to ask for ten steps, and only while an instance is free; with four
-/// calls of 430 ms under way that is less often than 100 steps need to stay known as waiting.
+/// Before a call is made for a step that waits for capacity, the steps behind it that could start must have been
+/// examined. A plan considers ten steps for calls, and only while an instance is free; with four calls of 430 ms in
+/// flight that is less often than 100 steps need to stay known as waiting.
 #[test]
 fn a_backlog_larger_than_a_plan_looks_at_leaves_calls_for_advice_to_a_job_whose_workers_are_free() {
     let whole = Size::new(16_000, 32_000, 8);
--- a/components/dispatch/tests/stragglers.rs
+++ b/components/dispatch/tests/stragglers.rs
@@ -1,4 +1,4 @@
-//! Runs that come on too slowly, and workers on which everything does.
+//! Tests of runs that progress too slowly, and of workers on which every run does.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use dispatch::RunRow;
 use workload::{StepSpec, TaskKey};
 
-/// Three workers with one task of a step each and room for one more.
+/// Returns a dispatcher with three workers that run one task of a step each and have capacity for one more.
 fn three_workers(spec_: StepSpec) -> Bench {
     let mut b = Bench::new("");
     for name in ["w1", "w2", "w3"] {
@@ -25,7 +25,7 @@
     RunRow { percent, ..row(task, 1) }
 }
 
-/// Reports once every 300 ms: the others come on by `fast` percent, the one on `slow` by `by`.
+/// Reports every 300 ms: the run on `slow` progresses by `by` percent each time, the others by 15 percent.
 fn run_on(b: &mut Bench, slow: &str, by: u32, reports: u32) {
     let placed: Vec<(String, TaskKey)> =
         b.starts().iter().map(|(w, s)| (w.to_string(), s.task)).collect();
@@ -85,7 +85,7 @@
     b.submit(2, spec(vec![step(3)]));
     b.commit();
     let new = b.starts().split_off(before);
-    assert_eq!(new.len(), 2, "two workers have one task's room each");
+    assert_eq!(new.len(), 2, "two workers have capacity for one task each");
     assert!(new.iter().all(|(w, _)| *w != worker("w2")));
 }
 
@@ -95,7 +95,7 @@
     run_on(&mut b, "w2", 2, 3);
     let (slow, key, run) = b.stops()[0].clone();
     b.stopped(&slow.0, key, run);
-    // The worker is no longer spared for being slow, and no lease has run out.
+    // The worker is no longer deprioritised for being slow, and no lease has run out.
     b.pass(Millis(2_600));
     b.report("w2", vec![], vec![common::end(1, key, run, workload::EndKind::Stopped)]);
     b.commit();
--- a/components/dispatch/tests/strangers.rs
+++ b/components/dispatch/tests/strangers.rs
@@ -1,6 +1,6 @@
-//! Announcements of workers that belong to no service of the configuration.
+//! Tests of announcements of workers that belong to no service of the configuration.
 //!
-//! Such a worker joined and was called again and again, though no job could ever run on it.
+//! Such a worker used to join and was called again and again, though no job could ever run on it.
 
 mod common;
 
@@ -29,7 +29,7 @@
     assert!(b.committed.worker(&worker("x")).is_none());
     b.submit(1, spec(vec![step(1)]));
     b.commit();
-    assert_eq!(b.starts()[0].0, worker("w"), "the others hold");
+    assert_eq!(b.starts()[0].0, worker("w"), "configured workers are used");
 }
 
 #[test]
@@ -68,7 +68,7 @@
     assert_eq!(b.starts().len(), 1);
 }
 
-/// What a caller asks for is never so large that reckoning with it ends the process.
+/// The sizes that callers submit must never overflow the arithmetic and so end the process.
 #[test]
 fn a_task_of_any_size_is_reckoned_with() {
     let mut b = Bench::new("");
--- a/components/dispatch/tests/terms.rs
+++ b/components/dispatch/tests/terms.rs
@@ -1,8 +1,10 @@
-//! An instance that leads again, in a later term or after it was started again, is called at the address that it had, and an
-//! answer to what it asked before may come late. Calls for advice were numbered from 1 in each term, so such an answer was
-//! taken for that to another call: it barred the workers that this one had named, for good, and gave tickets that hold for none.
+//! An instance that leads again, in a later term or after a restart, is called at the same address as before, and an
+//! answer to an earlier request may come late. Calls for advice were numbered from 1 in each term, so such an answer
+//! was taken for the answer to another call: it barred the workers that the new call had named for good, and its
+//! tickets were valid for none of them.
 //!
-//! Found by reading, where else something is numbered anew under a name that stays; never seen in a record.
+//! This was found by reading the code for other numbers that start anew under a name that stays; it was never seen in
+//! a recorded run.
 
 mod common;
 
@@ -10,7 +12,8 @@
 use common::{Bench, spec, step, worker};
 use dispatch::Input;
 
-/// A leader of two workers whose service asks for advice, in some term, with a job that has just been asked about.
+/// Returns a leader of two workers whose service asks for advice, in some term, with a job for which a call for
+/// advice has just left.
 fn leader(term: u64) -> Bench {
     let before = Bench::new("advice").committed;
     let mut b = Bench::take_over(before, term, Millis(1_000_000));
--- a/components/dispatch/tests/wait_lines.rs
+++ b/components/dispatch/tests/wait_lines.rs
@@ -1,4 +1,4 @@
-//! The lines that tell of tasks that last and have waited for long, and the figures of them.
+//! Tests of the log lines about long-running tasks that have waited for long, and of the statistics about them.
 
 mod common;
 
@@ -10,17 +10,17 @@
 use model::{Name, Size};
 use workload::{Blame, Book, Command, Document, EndKind, StepSpec, TaskKey, WorkerId, WorkerInfo};
 
-/// A step of tasks that last.
+/// Returns a step of long-running tasks.
 fn lasting(count: u32) -> StepSpec {
     StepSpec { long_running: true, ..step(count) }
 }
 
-/// A step of one task that lasts and takes so many cores.
+/// Returns a step of one long-running task that takes so many cores.
 fn large(cores: u64) -> StepSpec {
     StepSpec { size: Size::new(cores * 1_000, 1_000, 0), ..lasting(1) }
 }
 
-/// Takes the lines of tasks that wait: what each is about, and the rest.
+/// Takes the log lines about waiting tasks out of the actions: the subject of each, and its details.
 fn take_lines(b: &mut Bench) -> Vec<(String, String)> {
     let line = |a: Action| match a {
         Action::Note { kind, subject, details } if kind.name == "task_waits" => {
@@ -31,7 +31,7 @@
     std::mem::take(&mut b.actions).into_iter().filter_map(line).collect()
 }
 
-/// Lets time pass with a tick every 50 ms; gives the lines that were written.
+/// Lets time pass with a tick every 50 ms; returns the log lines that were written.
 fn lines_over(b: &mut Bench, span: Millis) -> Vec<(Millis, String, String)> {
     let until = b.now + span;
     let mut lines = Vec::new();
@@ -59,7 +59,7 @@
     b.feed(Input::News(WorkerNews { leaving: true, number: 2, ..news(name, cores) }));
 }
 
-/// Lets a worker that runs a task that lasts join, and be full with it.
+/// Has a worker join and run a long-running task that fills it.
 fn join_full(b: &mut Bench, name: &str, id: u64) {
     b.join(name, 1);
     b.submit(id, spec(vec![lasting(1)]));
@@ -126,8 +126,11 @@
     }
     let mut times: BTreeMap<&String, usize> = BTreeMap::new();
     lines.iter().for_each(|(_, about, _)| *times.entry(about).or_default() += 1);
-    assert_eq!(times.len(), 40, "each step is told of");
-    assert!(times.values().all(|n| *n <= 2), "none is told of thrice before others: {times:?}");
+    assert_eq!(times.len(), 40, "each step is logged");
+    assert!(
+        times.values().all(|n| *n <= 2),
+        "none is logged a third time before others: {times:?}"
+    );
 }
 
 #[test]
@@ -146,8 +149,8 @@
     assert_eq!(lines_over(&mut b, Millis(200)).len(), 1);
 }
 
-/// Of what stands against a worker, the first counts: those that lack the label or are too small leave, too, and
-/// the one that leaves is full.
+/// A worker is counted under the first reason that excludes it: the workers that lack the label or are too small
+/// leave, too, and the one that leaves is full.
 #[test]
 fn workers_are_counted_once_by_the_first_cause() {
     let mut b = Bench::new("other");
@@ -247,7 +250,8 @@
     assert_eq!(causes(3, 0).as_deref(), Some("fit=0 mixed=1"));
 }
 
-/// A gang of three has a ticket for one worker, two are not allowed, and about a fourth nobody was asked in time.
+/// A gang of three has a ticket for one worker, two workers are not allowed, and nobody was asked about a fourth in
+/// time.
 #[test]
 fn leave_to_run_is_told_by_what_is_known_of_it() {
     let mut b = Bench::new("advice");
@@ -265,7 +269,7 @@
     assert!(rest.ends_with("workers=4 fit=0 not_allowed=2 unknown=1 no_ticket=1"), "{rest}");
 }
 
-/// A gang of three has a worker left that failed it, and one that nothing stands against.
+/// A gang of three has a worker left on which it failed, and one that nothing excludes.
 #[test]
 fn a_worker_on_which_the_task_has_failed_is_told_apart_from_one_that_fits() {
     let mut b = Bench::new("");
@@ -286,7 +290,8 @@
     assert!(rest.ends_with("workers=3 fit=1 leaving=1 avoided=1"), "{rest}");
 }
 
-/// Makes a book of jobs with so many tasks that last, each of which has crashed so many workers while young.
+/// Makes a replicated state with jobs of so many long-running tasks, each of which has crashed so many workers while
+/// young.
 fn crashed(jobs: &[(u64, &str, u8, u32, u32)]) -> Book {
     let mut book = Book::default();
     book.apply(&Command::Configure(Document { version: 1, text: "".into() }));
@@ -319,7 +324,7 @@
     assert_eq!(rest, "since_ms=2000 tasks=5 held_back=4 looked=yes workers=0 fit=0");
 }
 
-/// The second task is on its last try and may not run beside the first.
+/// The second task is on its last attempt and may not run beside the first.
 #[test]
 fn a_worker_with_a_young_suspect_is_told_of_a_task_that_may_not_run_beside_it() {
     let jobs = [(1, "q", 0, 1, 1), (2, "bulk", 2, 1, 2)];
@@ -333,7 +338,8 @@
     assert!(rest.ends_with("looked=yes workers=1 fit=0 suspects=1"), "{rest}");
 }
 
-/// Steps that are more urgent would take all the looks of a plan; a task that lasts and has waited for long comes first.
+/// More urgent steps would use up the examination budget of a plan; a long-running task that has waited for long
+/// comes first.
 #[test]
 fn a_step_that_stands_behind_hundreds_of_others_is_looked_at() {
     let mut b = Bench::new("");
