--- a/components/bench/src/dispatching.rs
+++ b/components/bench/src/dispatching.rs
@@ -8,8 +8,8 @@
 use dispatch::{Action, Call, Dispatcher, Input, Limits, Moment, Report, Setup, Verb, WorkerNews};
 use model::Size;
 use workload::{
-    AdvicePolicy, Book, Document, End, EndKind, JobId, JobSpec, Policy, PolicyReader, Queue,
-    Service, StepSpec, TaskKey, WorkerId, WorkerInfo,
+    AdvicePolicy, Document, End, EndKind, JobId, JobSpec, Policy, PolicyReader, Queue,
+    ReplicatedState, Service, StepSpec, TaskKey, WorkerId, WorkerInfo,
 };
 
 use crate::figure::figure;
@@ -43,7 +43,7 @@
             advice: Some(AdvicePolicy { base_ms: 33.0, per_worker_ms: 0.47, valid: Millis(2_500) }),
             public: false,
         };
-        let service = Service { name: "s".into(), checks_room: false, max_connections: 64 };
+        let service = Service { name: "s".into(), checks_capacity: false, max_connections: 64 };
         let (queues, services) = (vec![queue], vec![service]);
         Ok(Policy { queues, services, max_body: 0, organisations: None })
     }
@@ -69,10 +69,11 @@
 impl Driven {
     fn new(workers: usize, waiting: u32) -> Driven {
         let now = Millis(1_000);
-        let mut book = Book::default();
+        let mut replicated = ReplicatedState::default();
         let document = Document { version: 1, text: "any".into() };
-        book.apply(&workload::Command::Configure(document));
-        let setup = Setup { limits: Limits::default(), term: 1, reader: Arc::new(OneQueue), book };
+        replicated.apply(&workload::Command::Configure(document));
+        let setup =
+            Setup { limits: Limits::default(), term: 1, reader: Arc::new(OneQueue), replicated };
         let moment = Moment { now, wall: now, leads_until: Millis(u64::MAX) };
         let dispatcher = Dispatcher::new(setup, moment);
         let (running, ends) = Default::default();
--- a/components/clock/src/source.rs
+++ b/components/clock/src/source.rs
@@ -16,10 +16,10 @@
 /// Where a [`SystemClock`] reads the time.
 pub trait TimeSource: Send + Sync {
     /// Gives the time since some fixed point, without the time that the machine was suspended.
-    fn awake(&self) -> Millis;
+    fn monotonic(&self) -> Millis;
 
     /// Gives the same with that time.
-    fn elapsed(&self) -> Millis;
+    fn boottime(&self) -> Millis;
 }
 
 /// The operating system's own clocks.
@@ -32,11 +32,11 @@
 }
 
 impl TimeSource for OsTime {
-    fn awake(&self) -> Millis {
+    fn monotonic(&self) -> Millis {
         read(ClockId::CLOCK_MONOTONIC)
     }
 
-    fn elapsed(&self) -> Millis {
+    fn boottime(&self) -> Millis {
         read(ClockId::CLOCK_BOOTTIME)
     }
 }
@@ -51,28 +51,28 @@
 
 impl Default for SystemClock {
     fn default() -> Self {
-        SystemClock::over(OsTime)
+        SystemClock::with_source(OsTime)
     }
 }
 
 impl<S: TimeSource> SystemClock<S> {
     /// Makes a clock that reads the time at a source.
-    pub fn over(source: S) -> Self {
-        let (started_awake, started) = (source.awake(), source.elapsed());
+    pub fn with_source(source: S) -> Self {
+        let (started_awake, started) = (source.monotonic(), source.boottime());
         SystemClock { source, started_awake, started }
     }
 
     /// Gives for how long the machine was suspended since the clock was made.
     pub fn suspended(&self) -> Millis {
-        let awake = self.source.awake().since(self.started_awake);
-        self.now().since(awake)
+        let monotonic = self.source.monotonic().since(self.started_awake);
+        self.now().since(monotonic)
     }
 }
 
 impl<S: TimeSource> Clock for SystemClock<S> {
     fn now(&self) -> Millis {
         // Leases and promises run out while a machine is suspended, so that time must count.
-        self.source.elapsed().since(self.started)
+        self.source.boottime().since(self.started)
     }
 }
 
--- a/components/clock/tests/suspended.rs
+++ b/components/clock/tests/suspended.rs
@@ -9,13 +9,13 @@
 /// A machine that tests let run and suspend.
 #[derive(Clone, Default)]
 struct Machine {
-    awake: Arc<AtomicU64>,
+    monotonic: Arc<AtomicU64>,
     suspended: Arc<AtomicU64>,
 }
 
 impl Machine {
     fn run(&self, ms: u64) {
-        self.awake.fetch_add(ms, Ordering::SeqCst);
+        self.monotonic.fetch_add(ms, Ordering::SeqCst);
     }
 
     fn suspend(&self, ms: u64) {
@@ -24,12 +24,12 @@
 }
 
 impl TimeSource for Machine {
-    fn awake(&self) -> Millis {
-        Millis(self.awake.load(Ordering::SeqCst))
+    fn monotonic(&self) -> Millis {
+        Millis(self.monotonic.load(Ordering::SeqCst))
     }
 
-    fn elapsed(&self) -> Millis {
-        self.awake() + Millis(self.suspended.load(Ordering::SeqCst))
+    fn boottime(&self) -> Millis {
+        self.monotonic() + Millis(self.suspended.load(Ordering::SeqCst))
     }
 }
 
@@ -37,7 +37,7 @@
 fn the_time_that_a_machine_was_suspended_counts() {
     let machine = Machine::default();
     machine.suspend(500);
-    let clock = SystemClock::over(machine.clone());
+    let clock = SystemClock::with_source(machine.clone());
     machine.run(100);
     machine.suspend(7_000);
     machine.run(20);
@@ -48,7 +48,7 @@
 fn the_clock_knows_for_how_long_that_was() {
     let machine = Machine::default();
     machine.suspend(500);
-    let clock = SystemClock::over(machine.clone());
+    let clock = SystemClock::with_source(machine.clone());
     machine.run(100);
     assert_eq!(clock.suspended(), Millis::ZERO);
     machine.suspend(7_000);
@@ -57,7 +57,7 @@
 
 #[test]
 fn the_operating_system_tells_both_times() {
-    let awake = OsTime.awake();
-    assert!(awake > Millis::ZERO);
-    assert!(OsTime.elapsed() >= awake);
+    let monotonic = OsTime.monotonic();
+    assert!(monotonic > Millis::ZERO);
+    assert!(OsTime.boottime() >= monotonic);
 }
--- a/components/dispatch/src/aging.rs
+++ b/components/dispatch/src/aging.rs
@@ -55,7 +55,7 @@
 
     fn half_empty_workers(&self) -> Vec<(&Worker, &View)> {
         let usable = self.views.iter().filter(|(_, v)| v.is_usable());
-        let workers = usable.filter_map(|(id, v)| Some((self.book.worker(id)?, v)));
+        let workers = usable.filter_map(|(id, v)| Some((self.replicated.worker(id)?, v)));
         workers.filter(|(w, _)| is_half_empty(&w.info.capacity, &w.used)).collect()
     }
 
@@ -63,7 +63,7 @@
     /// not to be allowed.
     fn has_room_on(&self, m: Moment, entry: &OpenStep, workers: &[(&Worker, &View)]) -> bool {
         let key = &entry.key;
-        let Some(job) = self.book.job(key.job) else { return false };
+        let Some(job) = self.replicated.job(key.job) else { return false };
         let spec = &job.spec.steps[key.step as usize];
         let barred = self.desk.barred(key);
         let takes = |(worker, view): &(&Worker, &View)| {
--- a/components/dispatch/src/asking.rs
+++ b/components/dispatch/src/asking.rs
@@ -60,7 +60,7 @@
         if !self.limits.mechanisms.asks_ahead {
             return;
         }
-        let Some(job) = self.book.job(entry.key.job) else { return };
+        let Some(job) = self.replicated.job(entry.key.job) else { return };
         let Some(policy) = self.advice_of.get(&job.queue).copied() else { return };
         let spec = job.spec.clone();
         let round = &job.rounds[entry.key.round as usize];
@@ -83,7 +83,7 @@
 
     pub(crate) fn ask_ahead(&mut self, m: Moment, entry: OpenStep) {
         let key = entry.key;
-        let Some(job) = self.book.job(key.job) else { return };
+        let Some(job) = self.replicated.job(key.job) else { return };
         let (queue, spec) = (job.queue.clone(), job.spec.clone());
         let Some(policy) = self.advice_of.get(&queue).copied() else { return };
         let tasks = u64::from(spec.steps[key.step as usize].count);
@@ -172,11 +172,11 @@
     /// each of 1,100 workers in them, 250 times a second, took most of a plan's time.
     fn prospects(&self, m: Moment, need: &Need) -> Vec<Prospect> {
         let (key, spec) = (&need.key, need.spec());
-        let Some(job) = self.book.job(key.job) else { return Vec::new() };
+        let Some(job) = self.replicated.job(key.job) else { return Vec::new() };
         let barred = self.desk.barred(key);
         let mut views = self.views.iter().peekable();
         let mut found = Vec::new();
-        for (id, worker) in self.book.workers() {
+        for (id, worker) in self.replicated.workers() {
             while views.next_if(|(known, _)| *known < id).is_some() {}
             let Some((_, view)) = views.next_if(|(known, _)| *known == id) else { continue };
             let open = barred.is_none_or(|b| !b.contains(id));
--- a/components/dispatch/src/callers.rs
+++ b/components/dispatch/src/callers.rs
@@ -41,7 +41,7 @@
                 return Answer::Invalid(e.to_string().into());
             }
         };
-        let held = self.book.document().version;
+        let held = self.replicated.document().version;
         if document.version > held {
             let queues = policy.queues.len();
             self.note(
@@ -57,9 +57,9 @@
     }
 
     fn read_document(&self) -> Answer {
-        match self.book.document().version {
+        match self.replicated.document().version {
             0 => Answer::NotDone { retry_after: COME_BACK },
-            _ => Answer::Document(self.book.document().clone()),
+            _ => Answer::Document(self.replicated.document().clone()),
         }
     }
 
@@ -107,7 +107,7 @@
                 Credential::Malformed => "no_key".to_owned(),
                 Credential::Key(key) => key.to_string(),
             };
-            let version = self.book.document().version;
+            let version = self.replicated.document().version;
             let details = format!("shown={shown} config={version}");
             self.note(&kinds::KEY_REFUSED, &queue.name, details);
         }
@@ -125,7 +125,7 @@
             let faults: Vec<String> = findings.list.iter().map(ToString::to_string).collect();
             return Answer::Invalid(faults.join("; ").into());
         }
-        if self.book.job(id).is_none() {
+        if self.replicated.job(id).is_none() {
             let organisation = match caller {
                 Caller::Organisation(name) => Some(name),
                 Caller::Anyone => None,
@@ -134,7 +134,7 @@
                 if let Some(answer) = self.refuse_beyond_limit(name, &spec) {
                     return answer;
                 }
-                self.propose(Command::Owned { job: id, organisation: name.clone() });
+                self.propose(Command::AssignOwner { job: id, organisation: name.clone() });
             }
             self.accepted.insert(id, m.now);
             self.propose(Command::Submit {
@@ -146,7 +146,7 @@
                 max_attempts: queue.max_attempts,
                 spec,
             });
-            let version = self.book.document().version;
+            let version = self.replicated.document().version;
             let of = organisation.as_deref().unwrap_or("-");
             let (queue, term) = (&queue.name, self.term);
             let details = format!("queue={queue} organisation={of} config={version} term={term}");
@@ -165,11 +165,11 @@
     }
 
     fn look(&self, id: JobId) -> Answer {
-        self.book.job(id).map_or(Answer::NoJob, |job| Answer::State(job.state))
+        self.replicated.job(id).map_or(Answer::NoJob, |job| Answer::State(job.state))
     }
 
     fn cancel(&mut self, m: Moment, id: JobId) -> Answer {
-        if self.book.job(id).is_none() {
+        if self.replicated.job(id).is_none() {
             return Answer::NoJob;
         }
         self.propose(Command::Cancel { id, at: m.wall });
@@ -182,6 +182,6 @@
         let waits = |j: &&workload::Job| {
             j.state == JobState::Queued && j.spec.rounds == 0 && j.queue == queue.name
         };
-        Answer::Pending(self.book.jobs().values().filter(waits).count() as u64)
+        Answer::Pending(self.replicated.jobs().values().filter(waits).count() as u64)
     }
 }
--- a/components/dispatch/src/causes.rs
+++ b/components/dispatch/src/causes.rs
@@ -111,13 +111,15 @@
     pub(crate) fn causes(&self, m: Moment, task: TaskKey) -> Causes {
         let mut causes = Causes::default();
         let key = &task.step;
-        let Some((job, spec)) = self.book.job(key.job).zip(self.book.step_spec(key)) else {
+        let Some((job, spec)) = self.replicated.job(key.job).zip(self.replicated.step_spec(key))
+        else {
             return causes;
         };
         let by_advice = self.advice_of.contains_key(&job.queue);
         let tickets = by_advice.then(|| self.desk.tickets(key, m.now).map(|(id, _)| id).collect());
         let sought = Sought { task, spec, tickets, avoid: self.avoid.get(&task) };
-        let workers = self.views.iter().filter_map(|(id, v)| Some((self.book.worker(id)?, v)));
+        let workers =
+            self.views.iter().filter_map(|(id, v)| Some((self.replicated.worker(id)?, v)));
         for (worker, view) in workers.filter(|(w, _)| w.info.service == job.service) {
             causes.add(self.cause(m, &sought, worker, view));
         }
@@ -174,7 +176,8 @@
         if !spec.size.fits(&self.room_for(spec, worker)) {
             let kept = self.kept_free_on(id);
             let with_kept = self.room_for(spec, worker).plus(&kept);
-            let only_kept = spec.room().fits(&worker.free()) && spec.size.fits(&with_kept);
+            let only_kept =
+                spec.required_capacity().fits(&worker.free()) && spec.size.fits(&with_kept);
             return Some(if only_kept { Cause::Kept } else { Cause::Full });
         }
         let suspects = self.plan_state.young_suspects.get(id).copied().unwrap_or_default();
--- a/components/dispatch/src/dispatcher.rs
+++ b/components/dispatch/src/dispatcher.rs
@@ -7,7 +7,8 @@
 use events::{Kind, kinds};
 use model::Name;
 use workload::{
-    AdvicePolicy, Book, Command, Job, JobId, Policy, PolicyReader, StepKey, TaskKey, WorkerId,
+    AdvicePolicy, Command, Job, JobId, Policy, PolicyReader, ReplicatedState, StepKey, TaskKey,
+    WorkerId,
 };
 
 use crate::action::Action;
@@ -43,7 +44,7 @@
     /// Reads configurations.
     pub reader: Arc<dyn PolicyReader>,
     /// Everything that is committed, up to and with the leader's first own entry.
-    pub book: Book,
+    pub replicated: ReplicatedState,
 }
 
 /// The decisions of one leader in one term.
@@ -54,7 +55,7 @@
     pub(crate) policy: Option<Arc<Policy>>,
     /// The advice that queues need, also of those that a later configuration dropped.
     pub(crate) advice_of: BTreeMap<Name, AdvicePolicy>,
-    pub(crate) book: Book,
+    pub(crate) replicated: ReplicatedState,
     pub(crate) views: BTreeMap<WorkerId, View>,
     /// The workers that no service is known for.
     pub(crate) strangers: Strangers,
@@ -104,14 +105,14 @@
 impl Dispatcher {
     /// Takes over from whoever led before.
     pub fn new(setup: Setup, m: Moment) -> Dispatcher {
-        let Setup { limits, term, reader, book } = setup;
+        let Setup { limits, term, reader, replicated } = setup;
         let mut d = Dispatcher {
             limits,
             term,
             reader,
             policy: None,
             advice_of: BTreeMap::new(),
-            book,
+            replicated,
             views: BTreeMap::new(),
             strangers: Strangers::default(),
             desk: Desk::of_term(term),
@@ -144,7 +145,7 @@
 
     /// Takes up the configuration, the workers and their runs as the log tells of them.
     fn inherit(&mut self, m: Moment) {
-        let document = self.book.document().clone();
+        let document = self.replicated.document().clone();
         if document.version > 0 {
             match self.reader.read(&document.text) {
                 Ok(policy) => self.set_policy(policy),
@@ -156,7 +157,7 @@
         // A leader before this one may have granted its longest lease up to now.
         let longest = self.limits.longest_lease.plus_percent(CLOCK_DRIFT_PERCENT);
         let lapses_at = m.now + longest + LAPSE_SLACK;
-        for (id, worker) in self.book.workers() {
+        for (id, worker) in self.replicated.workers() {
             let mut view = View::new(m.now, lapses_at);
             for (task, run) in &worker.runs {
                 let order = Order {
@@ -173,11 +174,11 @@
             self.views.insert(id.clone(), view);
         }
         let accepted_at = |j: &Job| m.now.since(m.wall.since(j.accepted_at));
-        let jobs = self.book.jobs().iter().filter(|(_, j)| !j.state.is_final());
+        let jobs = self.replicated.jobs().iter().filter(|(_, j)| !j.state.is_final());
         self.accepted = jobs.clone().map(|(id, j)| (*id, accepted_at(j))).collect();
         jobs.for_each(|(id, j)| self.waits.add_job(*id, &j.spec));
-        self.waits.update(m, &self.book);
-        let going_on = self.book.jobs().iter().filter(|(_, j)| j.placed() > 0);
+        self.waits.update(m, &self.replicated);
+        let going_on = self.replicated.jobs().iter().filter(|(_, j)| j.placed() > 0);
         self.sweep.extend(going_on.map(|(id, _)| *id));
     }
 
@@ -233,8 +234,8 @@
     }
 
     /// Gives the book, ahead of the log by what is not committed.
-    pub fn book(&self) -> &Book {
-        &self.book
+    pub fn replicated(&self) -> &ReplicatedState {
+        &self.replicated
     }
 
     pub(crate) fn set_policy(&mut self, policy: Policy) {
@@ -249,8 +250,8 @@
     /// Adds a command to the batch and takes it for granted from here on.
     pub(crate) fn propose(&mut self, command: Command) {
         self.plan_due = true;
-        self.waits.note_change(&command, &self.book);
-        self.book.apply(&command);
+        self.waits.note_change(&command, &self.replicated);
+        self.replicated.apply(&command);
         self.batch.push(command);
     }
 
@@ -343,11 +344,11 @@
         self.tell_torn_gangs();
         let before = m.wall.since(self.limits.remember);
         let old = |t: Option<Millis>| t.is_some_and(|t| t < before);
-        if self.book.jobs().values().any(|j| old(j.ended_at)) {
+        if self.replicated.jobs().values().any(|j| old(j.ended_at)) {
             self.propose(Command::Forget { before });
         }
-        let book = &self.book;
-        let goes_on = |id: &JobId| book.job(*id).is_some_and(|j| !j.state.is_final());
+        let replicated = &self.replicated;
+        let goes_on = |id: &JobId| replicated.job(*id).is_some_and(|j| !j.state.is_final());
         self.desk.retain(|k| goes_on(&k.job));
         self.accepted.retain(|id, _| goes_on(id));
         self.avoid.retain(|k, _| goes_on(&k.step.job));
--- a/components/dispatch/src/figures.rs
+++ b/components/dispatch/src/figures.rs
@@ -75,15 +75,15 @@
         let organisations = self.policy.iter().filter_map(|p| p.organisations.as_ref());
         let figures = |o: &Organisation| OrganisationFigures {
             limit: o.limit,
-            used: self.book.ownership().used(&o.name),
+            used: self.replicated.ownership().used(&o.name),
             ..OrganisationFigures::default()
         };
         let mut of: BTreeMap<Name, OrganisationFigures> = organisations
             .flat_map(|all| all.iter())
             .map(|o| (o.name.clone(), figures(o)))
             .collect();
-        for entry in self.book.open() {
-            let owner = self.book.ownership().owner(entry.key.job);
+        for entry in self.replicated.open() {
+            let owner = self.replicated.ownership().owner(entry.key.job);
             let Some(figures) = owner.and_then(|name| of.get_mut(name)) else { continue };
             figures.open_steps += 1;
             figures.steps_at_limit += u64::from(self.is_at_limit(&entry.key));
@@ -96,14 +96,15 @@
         let settled = |o: &Order| matches!(o.stage, Stage::Confirmed { .. });
         let orders = self.views.values().flat_map(|v| v.orders.values());
         let reached = self.views.iter().filter(|(_, v)| v.in_contact);
-        let reached: Vec<&Worker> = reached.filter_map(|(id, _)| self.book.worker(id)).collect();
+        let reached: Vec<&Worker> =
+            reached.filter_map(|(id, _)| self.replicated.worker(id)).collect();
         let lasting: Vec<Millis> = self.lasting_waiting().map(|(_, since)| since).collect();
         let longest = lasting.iter().min().map_or(Millis::ZERO, |since| self.now().since(*since));
         let sum = |a: Size, b: &Size| a.plus(b);
         Figures {
-            jobs: self.book.jobs().len() as u64,
-            open_steps: self.book.open().len() as u64,
-            runs: self.book.workers().values().map(|w| w.runs.len() as u64).sum(),
+            jobs: self.replicated.jobs().len() as u64,
+            open_steps: self.replicated.open().len() as u64,
+            runs: self.replicated.workers().values().map(|w| w.runs.len() as u64).sum(),
             orders_unsettled: orders.filter(|o| !settled(o)).count() as u64,
             workers: self.views.len() as u64,
             workers_in_contact: reached.len() as u64,
@@ -124,7 +125,7 @@
     pub fn service_figures(&self) -> BTreeMap<Name, ServiceFigures> {
         let mut of: BTreeMap<Name, ServiceFigures> = BTreeMap::new();
         let configured = self.policy.iter().flat_map(|p| &p.services).map(|s| &s.name);
-        let present = self.book.workers().values().map(|w| &w.info.service);
+        let present = self.replicated.workers().values().map(|w| &w.info.service);
         for service in configured.chain(present) {
             of.entry(service.clone()).or_default();
         }
@@ -132,7 +133,7 @@
             of.entry(worker.info.service.clone()).or_default().workers_aside += 1;
         }
         for (task, _) in self.lasting_waiting() {
-            let Some(job) = self.book.job(task.step.job) else { continue };
+            let Some(job) = self.replicated.job(task.step.job) else { continue };
             of.entry(job.service.clone()).or_default().lasting_waiting += 1;
         }
         of
@@ -142,7 +143,7 @@
         let now = self.now();
         let aside = move |v: &View| v.record.is_aside(now);
         let ids = self.views.iter().filter(move |(_, v)| aside(v)).map(|(id, _)| id);
-        ids.filter_map(|id| self.book.worker(id))
+        ids.filter_map(|id| self.replicated.worker(id))
     }
 
     fn lasting_waiting(&self) -> impl Iterator<Item = (TaskKey, Millis)> {
@@ -151,7 +152,7 @@
 
     /// Tells whether a task that waited as the last plan began still does.
     pub(crate) fn still_waits(&self, task: &TaskKey) -> bool {
-        let goes_on = self.book.job(task.step.job).is_some_and(|j| !j.state.is_final());
-        goes_on && self.book.task(task).is_some_and(|t| t.at.is_none())
+        let goes_on = self.replicated.job(task.step.job).is_some_and(|j| !j.state.is_final());
+        goes_on && self.replicated.task(task).is_some_and(|t| t.at.is_none())
     }
 }
--- a/components/dispatch/src/lib.rs
+++ b/components/dispatch/src/lib.rs
@@ -2,7 +2,7 @@
 //! answered.
 //!
 //! [`Dispatcher`] is pure: `(state, now, input) -> actions`. It runs on the leader of the cell's log
-//! only, keeps a copy of the [`workload::Book`] that is ahead of the log by what is not committed
+//! only, keeps a copy of the [`workload::ReplicatedState`] that is ahead of the log by what is not committed
 //! yet, and lets nothing out that rests on an uncommitted entry. docs/design/platform.md says what
 //! was weighed.
 
--- a/components/dispatch/src/lives.rs
+++ b/components/dispatch/src/lives.rs
@@ -13,7 +13,7 @@
 impl Dispatcher {
     /// Tells whether a life of this worker is known that has told its incarnation.
     pub(crate) fn knows_incarnation(&self, worker: &WorkerId) -> bool {
-        let first = worker.any_incarnation();
+        let first = worker.incarnation_prefix();
         let prefix = first.0.clone();
         let ids = self.views.range(first..).map(|(id, _)| id);
         let mut lives = ids.take_while(|id| id.0.starts_with(prefix.as_ref()));
@@ -27,7 +27,7 @@
             return;
         }
         let untold = info.id.without_incarnation();
-        if self.book.worker(&untold).is_some_and(|w| w.info.address == info.address) {
+        if self.replicated.worker(&untold).is_some_and(|w| w.info.address == info.address) {
             self.name_life(m, &untold, info.id.clone());
         }
     }
@@ -36,7 +36,9 @@
     /// Whether these are of this life is told by its first report, as after a change of leader. Its ends are numbered by
     /// this life, and the last number that the log holds may be of one before: so it begins anew.
     pub(crate) fn name_life(&mut self, m: Moment, worker: &WorkerId, life: WorkerId) {
-        let Some(Worker { info, runs, .. }) = self.book.worker(worker).cloned() else { return };
+        let Some(Worker { info, runs, .. }) = self.replicated.worker(worker).cloned() else {
+            return;
+        };
         let Some(mut view) = self.views.remove(worker) else { return };
         let runs: Vec<(TaskKey, u32)> = runs.into_iter().collect();
         self.propose(Command::WorkerJoined(WorkerInfo { id: life.clone(), ..info }));
--- a/components/dispatch/src/orders.rs
+++ b/components/dispatch/src/orders.rs
@@ -38,7 +38,7 @@
         for (task, run, stage, tries) in again {
             let starting = stage == Stage::Starting;
             let may_start = !leaving && !self.is_over_limit(task.step.job);
-            if starting && !self.book.is_wanted(&task, run) {
+            if starting && !self.replicated.is_wanted(&task, run) {
                 self.stop_unwanted_start(id, &task, run);
             } else if starting && tries < START_TRIES && may_start {
                 self.order_start(m, id, &task, run);
@@ -70,8 +70,8 @@
 
     /// Sends a start whose entry is committed, if it still makes sense.
     pub(crate) fn send_start(&mut self, m: Moment, id: &WorkerId, task: &TaskKey, run: u32) {
-        let wanted = self.book.is_wanted(task, run);
-        let over_room = self.book.worker(id).is_some_and(Worker::is_over_room);
+        let wanted = self.replicated.is_wanted(task, run);
+        let over_room = self.replicated.worker(id).is_some_and(Worker::is_overcommitted);
         let over_limit = self.is_over_limit(task.step.job);
         let Some(view) = self.views.get_mut(id) else { return };
         let usable = view.in_contact && !view.leaving && view.reading.is_some();
@@ -125,9 +125,9 @@
         task: &TaskKey,
         run: u32,
     ) -> Option<(Name, StartOrder)> {
-        let address = self.book.worker(id)?.info.address.clone();
-        let spec = self.book.job(task.step.job)?.spec.spec.clone();
-        let checkpoint = self.book.task(task)?.checkpoint.clone();
+        let address = self.replicated.worker(id)?.info.address.clone();
+        let spec = self.replicated.job(task.step.job)?.spec.spec.clone();
+        let checkpoint = self.replicated.task(task)?.checkpoint.clone();
         let (fence, span) = (self.term, self.limits.lease);
         let answer_within = self.answer_times.limit();
         let view = self.views.get_mut(id)?;
@@ -208,7 +208,7 @@
 
     /// Sends a stop, whatever became of the start.
     pub(crate) fn send_stop(&mut self, id: &WorkerId, task: &TaskKey, run: u32) {
-        let Some(worker) = self.book.worker(id) else { return };
+        let Some(worker) = self.replicated.worker(id) else { return };
         let address = worker.info.address.clone();
         let Some(view) = self.views.get_mut(id) else { return };
         let Some(order) = view.orders.get_mut(task).filter(|o| o.run == run) else { return };
@@ -273,7 +273,7 @@
     }
 
     fn unwanted_runs(&self, id: JobId) -> Vec<(WorkerId, TaskKey, u32)> {
-        let Some(job) = self.book.job(id) else { return Vec::new() };
+        let Some(job) = self.replicated.job(id) else { return Vec::new() };
         let mut found = Vec::new();
         for (round, r) in (0..).zip(&job.rounds) {
             for (step, s) in (0..).zip(&r.steps) {
--- a/components/dispatch/src/organisations.rs
+++ b/components/dispatch/src/organisations.rs
@@ -35,13 +35,13 @@
     /// so are those that belong to nobody.
     pub(crate) fn may_handle(&self, queue: &Queue, caller: &Caller, job: JobId) -> bool {
         let Caller::Organisation(name) = caller else { return true };
-        queue.public || self.book.ownership().owner(job).is_none_or(|owner| owner == name)
+        queue.public || self.replicated.ownership().owner(job).is_none_or(|owner| owner == name)
     }
 
     /// Gives the organisation that a job belongs to, as far as the configuration holds it.
     pub(crate) fn organisation_of(&self, job: JobId) -> Option<&Organisation> {
         let organisations = self.policy.as_ref()?.organisations.as_ref()?;
-        organisations.get(self.book.ownership().owner(job)?)
+        organisations.get(self.replicated.ownership().owner(job)?)
     }
 
     /// Leaves of some tasks of a step that wait those which the limit of its organisation lets start: of a gang all
@@ -53,7 +53,7 @@
         mut waiting: Vec<u32>,
     ) -> Vec<u32> {
         let Some(organisation) = self.organisation_of(key.job) else { return waiting };
-        let used = self.book.ownership().used(&organisation.name);
+        let used = self.replicated.ownership().used(&organisation.name);
         let most = organisation.tasks_within_limit(&used, &spec.size);
         let most = usize::try_from(most).unwrap_or(usize::MAX);
         match spec.gang && most < waiting.len() {
@@ -66,15 +66,16 @@
     /// Tells whether the organisation of a job has more running than its limit, so that no run of it that was not
     /// ordered yet may begin.
     pub(crate) fn is_over_limit(&self, job: JobId) -> bool {
-        let is_over = |o: &Organisation| o.is_over_limit(&self.book.ownership().used(&o.name));
+        let is_over =
+            |o: &Organisation| o.is_over_limit(&self.replicated.ownership().used(&o.name));
         self.organisation_of(job).is_some_and(is_over)
     }
 
     /// Tells whether the limit of its organisation lets no task of a step start.
     pub(crate) fn is_at_limit(&self, key: &StepKey) -> bool {
         let Some(organisation) = self.organisation_of(key.job) else { return false };
-        let Some(spec) = self.book.step_spec(key) else { return false };
-        let used = self.book.ownership().used(&organisation.name);
+        let Some(spec) = self.replicated.step_spec(key) else { return false };
+        let used = self.replicated.ownership().used(&organisation.name);
         let together = if spec.gang { u64::from(spec.count) } else { 1 };
         organisation.tasks_within_limit(&used, &spec.size) < together
     }
--- a/components/dispatch/src/place.rs
+++ b/components/dispatch/src/place.rs
@@ -34,7 +34,7 @@
     /// Starts the tasks that can start, and requests the advice that is missing. Returns the cost
     /// of the plan, in workers examined.
     pub(crate) fn plan(&mut self, m: Moment) -> u64 {
-        self.waits.update(m, &self.book);
+        self.waits.update(m, &self.replicated);
         self.wait_lines.choose(m.now, &self.waits);
         let Looked { mut urgent, mut by_turns, passed_over } = self.look_at(m);
         by_turns.extend(self.long_waiting(m, &urgent, &by_turns));
@@ -82,13 +82,13 @@
         let mut window = std::mem::take(&mut self.window);
         let readiness = |key: &StepKey| {
             let is_due = |j: &Job| m.wall >= j.spec.due(key.round);
-            match self.book.job(key.job).is_some_and(is_due) {
+            match self.replicated.job(key.job).is_some_and(is_due) {
                 false => Readiness::NotDue,
                 true if self.is_at_limit(key) => Readiness::AtLimit,
                 true => Readiness::MayStart,
             }
         };
-        let looked = window.next(self.book.open(), readiness);
+        let looked = window.next(self.replicated.open(), readiness);
         self.window = window;
         looked
     }
@@ -106,7 +106,7 @@
 
     /// Returns a step with its position among the waiting steps.
     fn open_step(&self, key: StepKey) -> Option<OpenStep> {
-        let job = self.book.job(key.job)?;
+        let job = self.replicated.job(key.job)?;
         Some(OpenStep { priority: job.priority, order: job.order, key })
     }
 
@@ -143,11 +143,11 @@
     /// Places what it can of a step. Returns how many tasks were placed.
     fn plan_step(&mut self, m: Moment, turn: Turn, entry: OpenStep) -> usize {
         let key = entry.key;
-        let Some(job) = self.book.job(key.job) else { return 0 };
+        let Some(job) = self.replicated.job(key.job) else { return 0 };
         self.desk.forget_ahead(&key);
         let (queue, job) = (job.queue.clone(), job.spec.clone());
         let spec = &job.steps[key.step as usize];
-        let Some(step) = self.book.step(&key) else { return 0 };
+        let Some(step) = self.replicated.step(&key) else { return 0 };
         // The members of a gang start to wait at the same time, so all of them are eligible or none
         // is.
         let is_meant = |index: &u32| {
@@ -217,9 +217,9 @@
         spec: &StepSpec,
         id: &WorkerId,
     ) -> Option<&Worker> {
-        let worker = self.book.worker(id)?;
+        let worker = self.replicated.worker(id)?;
         let view = self.views.get(id)?;
-        let job = self.book.job(key.job)?;
+        let job = self.replicated.job(key.job)?;
         self.is_suitable(m, reach, &job.service, spec, worker, view).then_some(worker)
     }
 
@@ -242,7 +242,7 @@
     /// Returns whether another worker than `not_on` has capacity for a task of a step and may run
     /// it.
     pub(crate) fn has_room_elsewhere(&self, m: Moment, key: &StepKey, not_on: &WorkerId) -> bool {
-        let Some(job) = self.book.job(key.job) else { return false };
+        let Some(job) = self.replicated.job(key.job) else { return false };
         let spec = &job.spec.steps[key.step as usize];
         let by_advice = self.advice_of.contains_key(&job.queue);
         let takes = |id: &WorkerId| {
@@ -260,7 +260,7 @@
         if !spec.filler && !has_target {
             return true;
         }
-        let others = worker.runs.keys().filter_map(|k| self.book.step_spec(&k.step));
+        let others = worker.runs.keys().filter_map(|k| self.replicated.step_spec(&k.step));
         let mut others = others.filter(|o| match spec.filler {
             true => o.target_latency > Millis::ZERO,
             false => o.filler,
@@ -281,7 +281,7 @@
         if !spec.filler {
             return free;
         }
-        let fillers = worker.runs.keys().filter_map(|k| self.book.step_spec(&k.step));
+        let fillers = worker.runs.keys().filter_map(|k| self.replicated.step_spec(&k.step));
         let taken: u64 = fillers.filter(|o| o.filler).map(|o| o.size.cpu_milli).sum();
         Size { cpu_milli: free.cpu_milli.saturating_sub(taken), ..free }
     }
@@ -297,7 +297,7 @@
         let mut by_worker: BTreeMap<WorkerId, Vec<(TaskKey, u32)>> = BTreeMap::new();
         for Seated { index, worker, ticket } in placed {
             let task = TaskKey { step: *key, index };
-            let own_next = self.book.task(&task).map_or(1, |t| t.run + 1);
+            let own_next = self.replicated.task(&task).map_or(1, |t| t.run + 1);
             let run = if spec.gang { next_run } else { own_next };
             let order = Order {
                 run,
--- a/components/dispatch/src/renewals.rs
+++ b/components/dispatch/src/renewals.rs
@@ -17,9 +17,9 @@
 impl Dispatcher {
     /// Sends the next renewal, unless one is under way.
     pub(crate) fn send_renewal(&mut self, m: Moment, id: &WorkerId) {
-        let Some(worker) = self.book.worker(id) else { return };
+        let Some(worker) = self.replicated.worker(id) else { return };
         let (address, seen, idle) =
-            (worker.info.address.clone(), worker.seen, worker.runs.is_empty());
+            (worker.info.address.clone(), worker.last_end, worker.runs.is_empty());
         let (fence, span) = (self.term, self.limits.lease);
         let busy = busy_wait(self.views.len());
         let Some(view) = self.views.get_mut(id) else { return };
@@ -81,14 +81,14 @@
         let regained = !view.in_contact;
         view.in_contact = true;
         view.rows = report.running.iter().map(|r| (r.task, r.clone())).collect();
-        if regained && self.book.crashes().has_lapsed_runs(id) {
-            self.propose(Command::LivedOn { worker: id.clone() });
+        if regained && self.replicated.crashes().has_lapsed_runs(id) {
+            self.propose(Command::WorkerSurvived { worker: id.clone() });
         }
         if regained {
             self.plan_due = true;
             // A clock and a last end that do not belong together tell of two lives under one id.
             let (runs, clock) = (report.running.len(), report.clock.0);
-            let seen = self.book.worker(id).map_or(0, |w| w.seen);
+            let seen = self.replicated.worker(id).map_or(0, |w| w.last_end);
             let details = format!("runs={runs} clock_ms={clock} seen={seen}");
             self.note(&kinds::WORKER_REACHED, id, details);
         }
@@ -113,7 +113,7 @@
 
     /// Puts ends that are new into the log; tells whether there were any.
     fn take_ends(&mut self, m: Moment, id: &WorkerId, ends: Vec<End>) -> bool {
-        let seen = self.book.worker(id).map_or(0, |w| w.seen);
+        let seen = self.replicated.worker(id).map_or(0, |w| w.last_end);
         let ends: Vec<End> = ends.into_iter().filter(|e| e.number > seen).collect();
         if ends.is_empty() {
             return false;
@@ -122,7 +122,7 @@
             self.judge_end(m, id, end);
         }
         let jobs: BTreeSet<JobId> = ends.iter().map(|e| e.task.step.job).collect();
-        let open = |id: &JobId| self.book.job(*id).is_some_and(|j| !j.state.is_final());
+        let open = |id: &JobId| self.replicated.job(*id).is_some_and(|j| !j.state.is_final());
         let jobs: Vec<JobId> = jobs.into_iter().filter(open).collect();
         self.propose(Command::Ended { worker: id.clone(), ends, at: m.wall });
         self.tell_what_is_over(jobs);
@@ -131,9 +131,11 @@
 
     pub(crate) fn tell_what_is_over(&mut self, jobs: Vec<JobId>) {
         for id in jobs {
-            let Some(job) = self.book.job(id).filter(|j| j.state.is_final()) else { continue };
+            let Some(job) = self.replicated.job(id).filter(|j| j.state.is_final()) else {
+                continue;
+            };
             let took = self.wall().since(job.accepted_at).0;
-            let gave_up = job.state == JobState::Failed && self.book.crashes().gave_up(id);
+            let gave_up = job.state == JobState::Failed && self.replicated.crashes().gave_up(id);
             let why = if gave_up { " why=\"its workers crashed\"" } else { "" };
             let details = format!("state={:?} queue={} took_ms={took}{why}", job.state, job.queue);
             self.note(&kinds::JOB_OVER, id, details);
@@ -201,7 +203,7 @@
 
     /// Stops runs that the worker lists and the log knows nothing of any more.
     fn stop_strays(&mut self, id: &WorkerId, running: &[RunRow]) {
-        let Some(worker) = self.book.worker(id) else { return };
+        let Some(worker) = self.replicated.worker(id) else { return };
         let strays: Vec<(TaskKey, u32)> = running
             .iter()
             .filter(|r| worker.runs.get(&r.task) != Some(&r.run))
--- a/components/dispatch/src/room.rs
+++ b/components/dispatch/src/room.rs
@@ -131,7 +131,7 @@
 
     /// Returns the reserved capacity that is idle here until the tasks start.
     fn kept_idle(&self, size: &Size) -> Size {
-        self.idle.least(&size.times(self.taken))
+        self.idle.elementwise_min(&size.times(self.taken))
     }
 }
 
@@ -168,7 +168,7 @@
             true => self.desk.allowed(key).collect(),
             false => self.views.keys().collect(),
         };
-        let mut workers = ids.iter().filter_map(|id| self.book.worker(id));
+        let mut workers = ids.iter().filter_map(|id| self.replicated.worker(id));
         // An overdue long-running task waits for capacity like a large one, because smaller tasks
         // take what is freed.
         let owed = turn == Turn::Owed && self.plan_state.looks < MOST_LOOKS_FOR_OWED;
@@ -218,7 +218,7 @@
     /// Returns the total capacity of the workers that are eligible for some steps.
     fn room_of(&self, sought: &Sought) -> Size {
         let Sought { service, label } = sought;
-        let infos = self.book.workers().values().map(|w| &w.info);
+        let infos = self.replicated.workers().values().map(|w| &w.info);
         let labelled = |i: &WorkerInfo| label.as_ref().is_none_or(|l| i.labels.contains(l));
         let sought = infos.filter(|i| i.service == *service && labelled(i));
         sought.fold(Size::ZERO, |a, i| a.plus(&i.capacity))
@@ -226,11 +226,11 @@
 
     /// Returns whether a step needs advice.
     fn is_by_advice(&self, key: &StepKey) -> bool {
-        self.book.job(key.job).is_some_and(|j| self.advice_of.contains_key(&j.queue))
+        self.replicated.job(key.job).is_some_and(|j| self.advice_of.contains_key(&j.queue))
     }
 
     fn sought(&self, key: &StepKey, spec: &StepSpec) -> Option<Sought> {
-        let service = self.book.job(key.job)?.service.clone();
+        let service = self.replicated.job(key.job)?.service.clone();
         Some(Sought { service, label: spec.constraint.clone() })
     }
 
@@ -278,14 +278,14 @@
         view: &View,
     ) -> (Vec<Victim>, Size, Size) {
         let (mut victims, mut coming, mut ending) = (Vec::new(), Size::ZERO, Size::ZERO);
-        let priority = self.book.job(key.job).map_or(0, |j| j.priority);
-        let estimate = self.book.step_spec(key).map_or(Millis::ZERO, |s| s.estimate);
+        let priority = self.replicated.job(key.job).map_or(0, |j| j.priority);
+        let estimate = self.replicated.step_spec(key).map_or(Millis::ZERO, |s| s.estimate);
         let stops = self.limits.mechanisms.preempts && estimate >= SHORTEST_PREEMPTOR;
         let mut spare: BTreeSet<StepKey> = BTreeSet::new();
         for (task, run) in &worker.runs {
-            let Some(spec) = self.book.step_spec(&task.step) else { continue };
+            let Some(spec) = self.replicated.step_spec(&task.step) else { continue };
             let Some(order) = view.orders.get(task) else { continue };
-            let size = spec.room();
+            let size = spec.required_capacity();
             if matches!(order.stage, Stage::Stopping | Stage::Stopped { .. }) {
                 coming = coming.plus(&size);
                 continue;
@@ -295,7 +295,7 @@
             }
             let confirmed = matches!(order.stage, Stage::Confirmed { .. });
             let may_stop = stops && confirmed && spec.checkpointing && !spec.gang;
-            let later = self.book.job(task.step.job).is_some_and(|j| j.priority > priority);
+            let later = self.replicated.job(task.step.job).is_some_and(|j| j.priority > priority);
             if may_stop
                 && later
                 && (spare.contains(&task.step) || self.has_time_to_spare(m, &task.step))
--- a/components/dispatch/src/seats.rs
+++ b/components/dispatch/src/seats.rs
@@ -146,10 +146,11 @@
         spec: &StepSpec,
         by_ticket: bool,
     ) -> Vec<Seat> {
-        let suspected = !self.book.crashes().is_empty();
+        let suspected = !self.replicated.crashes().is_empty();
         let seat = |id: &WorkerId, ticket: Option<Name>| {
             // With a backlog most workers are full, and this check is the cheapest.
-            let worker = self.book.worker(id).filter(|w| spec.room().fits(&w.free()))?;
+            let worker =
+                self.replicated.worker(id).filter(|w| spec.required_capacity().fits(&w.free()))?;
             self.suitable(m, reach, key, spec, id)?;
             let near = spec.rack.as_ref().is_some_and(|r| worker.info.labels.contains(r));
             let on_trial = self.views.get(id).is_some_and(|v| v.record.is_on_trial(m.now));
@@ -224,16 +225,18 @@
 
     /// Returns the zones of the workers that a job runs on.
     fn zones_of(&self, key: &StepKey) -> BTreeSet<Name> {
-        let Some(job) = self.book.job(key.job) else { return BTreeSet::new() };
+        let Some(job) = self.replicated.job(key.job) else { return BTreeSet::new() };
         let tasks = job.rounds.iter().flat_map(|r| &r.steps).flat_map(|s| &s.tasks);
-        let workers = tasks.filter_map(|t| t.at.as_ref()).filter_map(|id| self.book.worker(id));
+        let workers =
+            tasks.filter_map(|t| t.at.as_ref()).filter_map(|id| self.replicated.worker(id));
         workers.map(|w| w.info.zone.clone()).collect()
     }
 
     /// Returns whether a task's job ends if one more of its runs fails.
     fn is_last_attempt(&self, task: &TaskKey, spec: &StepSpec) -> bool {
-        let Some(job) = self.book.job(task.step.job) else { return false };
-        let failed = self.book.task(&self.book.suspect(task)).map_or(0, |t| t.failed);
+        let Some(job) = self.replicated.job(task.step.job) else { return false };
+        let failed =
+            self.replicated.task(&self.replicated.suspect_key(task)).map_or(0, |t| t.failed);
         !spec.long_running && failed + 1 >= job.max_attempts
     }
 
--- a/components/dispatch/src/sign_of_life.rs
+++ b/components/dispatch/src/sign_of_life.rs
@@ -29,7 +29,7 @@
     }
 
     fn unanswered_runs(&self, m: Moment, key: &StepKey) -> Vec<(WorkerId, TaskKey, u32)> {
-        let Some(step) = self.book.step(key) else { return Vec::new() };
+        let Some(step) = self.replicated.step(key) else { return Vec::new() };
         let placed = (0..).zip(&step.tasks).filter_map(|(i, t)| Some((i, t.at.as_ref()?, t.run)));
         let runs = placed.map(|(index, worker, run)| (worker, TaskKey { step: *key, index }, run));
         let wanted = runs.filter(|(worker, task, run)| {
--- a/components/dispatch/src/slack.rs
+++ b/components/dispatch/src/slack.rs
@@ -12,10 +12,10 @@
     /// times. Steps in progress count whole, since their progress may be lost. A job whose queue is
     /// no longer configured has no slack.
     pub(crate) fn slack(&self, m: Moment, key: &StepKey) -> Millis {
-        let Some(job) = self.book.job(key.job) else { return Millis::ZERO };
+        let Some(job) = self.replicated.job(key.job) else { return Millis::ZERO };
         let Some(allowed) = self.allowed(job) else { return Millis::ZERO };
         let Some(round) = job.rounds.get(key.round as usize) else { return Millis::ZERO };
-        let left = job.spec.longest_chain(|i| !round.steps[i].is_done());
+        let left = job.spec.critical_path(|i| !round.steps[i].is_done());
         allowed.since(self.age(m, key, job) + left)
     }
 
@@ -33,7 +33,7 @@
     /// Returns how long a round of a job may take and be in time.
     fn allowed(&self, job: &Job) -> Option<Millis> {
         let queue = self.policy.as_ref()?.queue(&job.queue)?;
-        let chain = job.spec.longest_chain(|_| true);
+        let chain = job.spec.critical_path(|_| true);
         Some(Millis((chain.0 as f64 * queue.stretch) as u64) + queue.target_latency)
     }
 
--- a/components/dispatch/src/standing.rs
+++ b/components/dispatch/src/standing.rs
@@ -232,7 +232,7 @@
         if !self.limits.mechanisms.sets_aside {
             return;
         }
-        let lasts = self.book.step_spec(&task.step).is_some_and(|s| s.long_running);
+        let lasts = self.replicated.step_spec(&task.step).is_some_and(|s| s.long_running);
         // Long-running tasks end at any time, and a worker that fails all it starts fails them
         // immediately.
         if lasts && m.now.since(began) >= YOUNG_RUN {
@@ -246,7 +246,9 @@
 
     /// Quarantines a worker, unless too many are already or the others fare no better.
     fn set_aside(&mut self, m: Moment, id: &WorkerId) {
-        let Some(service) = self.book.worker(id).map(|w| w.info.service.clone()) else { return };
+        let Some(service) = self.replicated.worker(id).map(|w| w.info.service.clone()) else {
+            return;
+        };
         let peers = self.peers_of(m, id, &service);
         let Some(view) = self.views.get_mut(id) else { return };
         let fares_worse = peers.fare_better(view.record.recent_tasks(m.now));
@@ -264,7 +266,7 @@
     fn peers_of(&self, m: Moment, id: &WorkerId, service: &Name) -> Peers {
         let mut peers = Peers::default();
         for (other, view) in self.views.iter().filter(|(other, v)| v.in_contact && *other != id) {
-            if self.book.worker(other).is_none_or(|w| w.info.service != *service) {
+            if self.replicated.worker(other).is_none_or(|w| w.info.service != *service) {
                 continue;
             }
             match view.record.is_aside(m.now) {
@@ -285,7 +287,7 @@
             return;
         }
         for row in running {
-            let lasts = self.book.step_spec(&row.task.step).is_some_and(|s| s.long_running);
+            let lasts = self.replicated.step_spec(&row.task.step).is_some_and(|s| s.long_running);
             let Some(view) = self.views.get(id).filter(|_| lasts) else { continue };
             let Some(order) = view.orders.get(&row.task).filter(|o| o.run == row.run) else {
                 continue;
@@ -328,7 +330,7 @@
     pub(crate) fn find_spared(&mut self, m: Moment) {
         let is_marked = |id: &WorkerId, view: &View| {
             let spared = |w: &Worker| self.is_spared(m, w, view);
-            view.record.is_on_trial(m.now) || self.book.worker(id).is_some_and(spared)
+            view.record.is_on_trial(m.now) || self.replicated.worker(id).is_some_and(spared)
         };
         let spared = |(id, view): (&WorkerId, &View)| view.is_usable() && is_marked(id, view);
         self.plan_state.spares_any = self.views.iter().any(spared);
@@ -345,7 +347,7 @@
         turn: Turn,
         by_advice: bool,
     ) -> Reach {
-        let Some(job) = self.book.job(key.job) else { return Reach::Good };
+        let Some(job) = self.replicated.job(key.job) else { return Reach::Good };
         if turn == Turn::Owed {
             return Reach::All;
         }
@@ -355,7 +357,7 @@
         let barred = if by_advice { self.desk.barred(key) } else { None };
         let is_good = |(id, view): (&WorkerId, &View)| {
             let open = barred.is_none_or(|b| !b.contains(id));
-            let worker = if open { self.book.worker(id) } else { None };
+            let worker = if open { self.replicated.worker(id) } else { None };
             worker.is_some_and(|w| {
                 self.is_suitable(m, Reach::Good, &job.service, spec, w, view)
                     && !view.record.is_on_trial(m.now)
--- a/components/dispatch/src/stragglers.rs
+++ b/components/dispatch/src/stragglers.rs
@@ -21,7 +21,7 @@
         let mut shares = Vec::new();
         let mut stragglers = Vec::new();
         for row in running {
-            let Some(spec) = self.book.step_spec(&row.task.step) else { continue };
+            let Some(spec) = self.replicated.step_spec(&row.task.step) else { continue };
             let Some(view) = self.views.get_mut(id) else { return };
             let Some(order) = view.orders.get(&row.task) else { continue };
             if spec.long_running || spec.filler || order.run != row.run {
--- a/components/dispatch/src/strangers.rs
+++ b/components/dispatch/src/strangers.rs
@@ -46,7 +46,7 @@
     pub(crate) fn is_configured(&self, service: &Name) -> bool {
         let named = self.policy.as_ref().is_some_and(|p| p.service(service).is_some());
         let needed = |j: &Job| j.service == *service && !j.state.is_final();
-        named || self.book.jobs().values().any(needed)
+        named || self.replicated.jobs().values().any(needed)
     }
 
     /// Remembers a worker that no service is known for.
--- a/components/dispatch/src/suspects.rs
+++ b/components/dispatch/src/suspects.rs
@@ -13,8 +13,8 @@
 use events::kinds;
 use model::Name;
 use workload::{
-    Blame, COUNTED_WEIGHT, Command, DoubtfulLoss, FULL_WEIGHT, JobId, MOST_CRASHES, StepKey,
-    StepSpec, StepState, TaskKey, WorkerId,
+    COUNTED_WEIGHT, Command, CrashSuspects, FULL_WEIGHT, JobId, MAX_CRASHES, StepKey, StepSpec,
+    StepState, TaskKey, UncertainLoss, WorkerId,
 };
 
 use crate::action::Action;
@@ -43,7 +43,7 @@
     fn of(crashes: u16) -> Suspicion {
         match crashes {
             0 => Suspicion::None,
-            n if n + 1 < MOST_CRASHES => Suspicion::Suspect,
+            n if n + 1 < MAX_CRASHES => Suspicion::Suspect,
             _ => Suspicion::LastTry,
         }
     }
@@ -117,12 +117,12 @@
 impl Dispatcher {
     /// Gives what is held against a task.
     pub(crate) fn suspicion(&self, task: &TaskKey) -> Suspicion {
-        let ledger = self.book.crashes();
-        if ledger.is_empty() && self.book.doubts().is_empty() {
+        let ledger = self.replicated.crashes();
+        if ledger.is_empty() && self.replicated.uncertain_losses().is_empty() {
             return Suspicion::None;
         }
-        let task = self.book.suspect(task);
-        Suspicion::of(ledger.crashes(&task) + self.book.doubts().losses(&task))
+        let task = self.replicated.suspect_key(task);
+        Suspicion::of(ledger.crashes(&task) + self.replicated.uncertain_losses().losses(&task))
     }
 
     /// Finds out which workers run suspects that are young.
@@ -141,14 +141,14 @@
 
     /// Gives the tasks under which workers have crashed, whether or not that was counted against them.
     fn suspects(&self) -> BTreeSet<TaskKey> {
-        let counted = self.book.crashes().suspects().map(|(task, _)| *task);
-        counted.chain(self.book.doubts().tasks().copied()).collect()
+        let counted = self.replicated.crashes().suspects().map(|(task, _)| *task);
+        counted.chain(self.replicated.uncertain_losses().tasks().copied()).collect()
     }
 
     /// Gives where a task of the ledger is placed; of a gang all of its members.
     fn placed_of(&self, suspect: &TaskKey) -> Vec<(WorkerId, TaskKey)> {
-        let Some(step) = self.book.step(&suspect.step) else { return Vec::new() };
-        let gang = self.book.step_spec(&suspect.step).is_some_and(|s| s.gang);
+        let Some(step) = self.replicated.step(&suspect.step) else { return Vec::new() };
+        let gang = self.replicated.step_spec(&suspect.step).is_some_and(|s| s.gang);
         let tasks = (0..).zip(&step.tasks).filter(|(i, _)| gang || *i == suspect.index);
         let placed = tasks.filter_map(|(index, t)| Some((t.at.clone()?, index)));
         placed.map(|(worker, index)| (worker, TaskKey { index, ..*suspect })).collect()
@@ -177,13 +177,13 @@
         spec: &StepSpec,
         mut waiting: Vec<u32>,
     ) -> Vec<u32> {
-        let ledger = self.book.crashes();
+        let ledger = self.replicated.crashes();
         if ledger.is_empty() {
             return waiting;
         }
-        let task = |index: u32| self.book.suspect(&TaskKey { step: *key, index });
-        waiting.retain(|i| !self.book.must_wait(&task(*i)));
-        let Some(step) = self.book.step(key) else { return waiting };
+        let task = |index: u32| self.replicated.suspect_key(&TaskKey { step: *key, index });
+        waiting.retain(|i| !self.replicated.must_wait(&task(*i)));
+        let Some(step) = self.replicated.step(key) else { return waiting };
         let record = self.step_record(m, key, step);
         if spec.gang || !record.seems_at_fault() {
             return waiting;
@@ -197,7 +197,7 @@
         let mut record = StepRecord::default();
         for (index, state) in (0..).zip(&step.tasks) {
             let task = TaskKey { step: *key, index };
-            let suspect = self.book.crashes().crashes_while_young(&task) > 0;
+            let suspect = self.replicated.crashes().crashes_while_young(&task) > 0;
             let lives = state.at.as_ref().is_some_and(|w| self.is_settled(m, w, &task));
             let settled = state.done || lives;
             record.suspects += usize::from(suspect && !settled);
@@ -238,13 +238,13 @@
 
     /// Clears suspects whose runs have lived for long enough.
     pub(crate) fn clear_suspects(&mut self, m: Moment) {
-        if self.book.crashes().is_empty() && self.book.doubts().is_empty() {
+        if self.replicated.crashes().is_empty() && self.replicated.uncertain_losses().is_empty() {
             return;
         }
         let suspects = self.suspects().into_iter();
         let tasks: Vec<TaskKey> = suspects.filter(|t| self.has_lived_on(m, t)).collect();
         if !tasks.is_empty() {
-            self.propose(Command::Cleared { tasks });
+            self.propose(Command::SuspectsCleared { tasks });
         }
     }
 
@@ -262,8 +262,8 @@
 
     /// Gives the runs that a worker may have crashed under, if it has. It was alive when it last answered, so
     /// runs that were old by then are to blame only where no younger one is.
-    pub(crate) fn blame(&self, worker: &WorkerId) -> Blame {
-        let Some(view) = self.views.get(worker) else { return Blame::default() };
+    pub(crate) fn crash_suspects(&self, worker: &WorkerId) -> CrashSuspects {
+        let Some(view) = self.views.get(worker) else { return CrashSuspects::default() };
         let alive_at = view.reading.map_or(Millis::ZERO, |r| r.at);
         let begun = view.orders.iter().filter(|(_, o)| has_begun(o));
         let aged = begun.map(|(task, o)| ((*task, o.run), alive_at.since(o.since)));
@@ -271,20 +271,25 @@
         let (young, old): (Vec<_>, Vec<_>) = aged.partition(|(_, age)| *age < YOUNG_RUN);
         let runs = |aged: Vec<_>| aged.into_iter().map(|(run, _)| run).collect();
         match young.is_empty() {
-            true => Blame { under: runs(old), ..Blame::default() },
-            false => Blame { under: runs(young), young: true, beside: runs(old), alone: false },
+            true => CrashSuspects { primary: runs(old), ..CrashSuspects::default() },
+            false => CrashSuspects {
+                primary: runs(young),
+                primary_young: true,
+                secondary: runs(old),
+                silent_alone: false,
+            },
         }
     }
 
     /// Gives the runs that a worker has crashed under, but for those that chance may have hit: these are in doubt.
-    fn blame_for_crash(&mut self, worker: &WorkerId) -> Blame {
-        let lapsed = self.book.crashes().lapsed_runs(worker).cloned();
-        let blame = lapsed.unwrap_or_else(|| self.blame(worker));
-        let doubtful = self.doubtful_losses(worker, &blame);
+    fn blame_for_crash(&mut self, worker: &WorkerId) -> CrashSuspects {
+        let lapsed = self.replicated.crashes().lapsed_runs(worker).cloned();
+        let crash_suspects = lapsed.unwrap_or_else(|| self.crash_suspects(worker));
+        let doubtful = self.doubtful_losses(worker, &crash_suspects);
         if doubtful.is_empty() {
-            return blame;
+            return crash_suspects;
         }
-        let counted = doubtful.iter().filter(|l| self.book.doubts().counts(l));
+        let counted = doubtful.iter().filter(|l| self.replicated.uncertain_losses().counts(l));
         let counted: BTreeSet<(TaskKey, u32)> = counted.map(|l| (l.task, l.run)).collect();
         let excused = doubtful.iter().map(|l| (l.task, l.run));
         let excused: BTreeSet<_> = excused.filter(|run| !counted.contains(run)).collect();
@@ -297,18 +302,22 @@
             );
             self.note(&kinds::LOSS_IN_DOUBT, loss.task, details);
         }
-        self.propose(Command::Doubted { losses: doubtful });
-        self.without(blame, &excused)
+        self.propose(Command::LossesUncertain { losses: doubtful });
+        self.without(crash_suspects, &excused)
     }
 
     /// Gives the runs of a blame that chance may have hit.
-    fn doubtful_losses(&self, worker: &WorkerId, blame: &Blame) -> Vec<DoubtfulLoss> {
-        let weigh = |(task, run): &(TaskKey, u32)| DoubtfulLoss {
-            task: self.book.suspect(task),
+    fn doubtful_losses(
+        &self,
+        worker: &WorkerId,
+        crash_suspects: &CrashSuspects,
+    ) -> Vec<UncertainLoss> {
+        let weigh = |(task, run): &(TaskKey, u32)| UncertainLoss {
+            task: self.replicated.suspect_key(task),
             run: *run,
             weight: self.weight_of_loss(worker, task),
         };
-        let mut losses: Vec<DoubtfulLoss> = blame.runs().map(weigh).collect();
+        let mut losses: Vec<UncertainLoss> = crash_suspects.runs().map(weigh).collect();
         losses.retain(|l| l.weight < COUNTED_WEIGHT);
         // A gang may have several members there.
         losses.dedup_by_key(|l| (l.task, l.run));
@@ -316,19 +325,30 @@
     }
 
     /// Leaves runs out of a blame, by suspect and number.
-    fn without(&self, blame: Blame, excused: &BTreeSet<(TaskKey, u32)>) -> Blame {
-        let is_left =
-            |(task, run): &(TaskKey, u32)| !excused.contains(&(self.book.suspect(task), *run));
+    fn without(
+        &self,
+        crash_suspects: CrashSuspects,
+        excused: &BTreeSet<(TaskKey, u32)>,
+    ) -> CrashSuspects {
+        let is_left = |(task, run): &(TaskKey, u32)| {
+            !excused.contains(&(self.replicated.suspect_key(task), *run))
+        };
         let left = |runs: Vec<(TaskKey, u32)>| runs.into_iter().filter(is_left).collect();
-        Blame { under: left(blame.under), beside: left(blame.beside), ..blame }
+        CrashSuspects {
+            primary: left(crash_suspects.primary),
+            secondary: left(crash_suspects.secondary),
+            ..crash_suspects
+        }
     }
 
     /// Gives how much the loss of a worker speaks against one of its runs, up to [`FULL_WEIGHT`].
     fn weight_of_loss(&self, worker: &WorkerId, task: &TaskKey) -> u16 {
-        let Some(info) = self.book.worker(worker).map(|w| &w.info) else { return FULL_WEIGHT };
+        let Some(info) = self.replicated.worker(worker).map(|w| &w.info) else {
+            return FULL_WEIGHT;
+        };
         let Some(view) = self.views.get(worker) else { return FULL_WEIGHT };
         let began = view.orders.get(task).map_or(self.now(), |o| o.since);
-        let gang = self.book.step_spec(&task.step).filter(|s| s.gang);
+        let gang = self.replicated.step_spec(&task.step).filter(|s| s.gang);
         let run = LostRun {
             job: task.step.job,
             service: info.service.clone(),
@@ -345,7 +365,7 @@
     fn silent_beside(&self, worker: &WorkerId, run: &LostRun) -> impl Iterator<Item = OtherLoss> {
         let silent = self.views.iter().filter(|(_, v)| v.silent_since.is_some());
         let others = silent.filter(move |(id, _)| *id != worker);
-        let others = others.filter_map(|(id, v)| Some((self.book.worker(id)?, v)));
+        let others = others.filter_map(|(id, v)| Some((self.replicated.worker(id)?, v)));
         let of_service = others.filter(|(w, _)| w.info.service == run.service);
         of_service.map(|(w, v)| OtherLoss {
             at: v.lost_at(self.now()),
@@ -355,7 +375,7 @@
 
     /// Gives how many workers of a service run nothing of a job.
     fn workers_without(&self, job: JobId, service: &Name) -> usize {
-        let of_service = self.book.workers().values().filter(|w| w.info.service == *service);
+        let of_service = self.replicated.workers().values().filter(|w| w.info.service == *service);
         of_service.filter(|w| !w.runs_any_of(job)).count()
     }
 
@@ -369,8 +389,11 @@
     }
 
     /// Gives the runs that a worker may have crashed under whose lease is over, until its fate is known.
-    pub(crate) fn blame_for_silence(&self, worker: &WorkerId) -> Blame {
-        Blame { alone: self.fell_silent_alone(worker), ..self.blame(worker) }
+    pub(crate) fn blame_for_silence(&self, worker: &WorkerId) -> CrashSuspects {
+        CrashSuspects {
+            silent_alone: self.fell_silent_alone(worker),
+            ..self.crash_suspects(worker)
+        }
     }
 
     /// Tells whether a worker fell silent by itself. One that did so with others is more likely cut off, or lost for a
@@ -384,19 +407,21 @@
 
     /// Ends the life of a worker that had not said it would leave: whatever had begun there is suspect.
     pub(crate) fn worker_crashed(&mut self, id: &WorkerId, saved: Vec<(TaskKey, Arc<str>)>) {
-        let (blame, at) = (self.blame_for_crash(id), self.wall());
+        let (crash_suspects, at) = (self.blame_for_crash(id), self.wall());
         self.note_loss(id);
         // Runs that have lapsed are judged with the crash, so they are not to be counted by themselves.
-        let settled = self.book.crashes().has_lapsed_runs(id);
-        let settled = settled.then(|| Command::LivedOn { worker: id.clone() });
-        let crashed = Command::WorkerCrashed { worker: id.clone(), saved, blame, at };
+        let settled = self.replicated.crashes().has_lapsed_runs(id);
+        let settled = settled.then(|| Command::WorkerSurvived { worker: id.clone() });
+        let crashed = Command::WorkerCrashed { worker: id.clone(), saved, crash_suspects, at };
         self.end_life(id, settled.into_iter().chain([crashed]));
     }
 
     /// Notes when a worker was lost.
     fn note_loss(&mut self, id: &WorkerId) {
-        let (Some(view), Some(worker)) = (self.views.get(id), self.book.worker(id)) else { return };
-        let (service, jobs) = (worker.info.service.clone(), self.book.jobs_on(id));
+        let (Some(view), Some(worker)) = (self.views.get(id), self.replicated.worker(id)) else {
+            return;
+        };
+        let (service, jobs) = (worker.info.service.clone(), self.replicated.jobs_on(id));
         self.recent_losses.note(view.lost_at(self.now()), service, jobs);
     }
 
@@ -407,13 +432,13 @@
     }
 
     fn end_life(&mut self, id: &WorkerId, commands: impl IntoIterator<Item = Command>) {
-        let jobs = self.book.jobs_on(id);
+        let jobs = self.replicated.jobs_on(id);
         if jobs.is_empty() {
             self.propose(Command::WorkerGone { worker: id.clone(), saved: Vec::new() });
             return;
         }
         self.tell_crash(id);
-        let open = |id: &JobId| self.book.job(*id).is_some_and(|j| !j.state.is_final());
+        let open = |id: &JobId| self.replicated.job(*id).is_some_and(|j| !j.state.is_final());
         let open: Vec<JobId> = jobs.iter().filter(|id| open(id)).copied().collect();
         commands.into_iter().for_each(|c| self.propose(c));
         self.sweep.extend(jobs);
@@ -421,7 +446,7 @@
     }
 
     fn tell_crash(&mut self, id: &WorkerId) {
-        let Some(worker) = self.book.worker(id) else { return };
+        let Some(worker) = self.replicated.worker(id) else { return };
         let service: Name = worker.info.service.clone();
         let details = format!("service={service} address={}", worker.info.address);
         self.note(&kinds::WORKER_CRASHED, id, details);
--- a/components/dispatch/src/torn_gangs.rs
+++ b/components/dispatch/src/torn_gangs.rs
@@ -20,7 +20,7 @@
     }
 
     fn torn_members(&self) -> impl Iterator<Item = TaskKey> + '_ {
-        let jobs = self.book.jobs().iter().filter(|(_, j)| !j.state.is_final());
+        let jobs = self.replicated.jobs().iter().filter(|(_, j)| !j.state.is_final());
         jobs.flat_map(|(id, job)| {
             let rounds = (0..).zip(&job.rounds);
             rounds.flat_map(move |(round, r)| {
@@ -35,7 +35,7 @@
     }
 
     fn member_state(&self, member: &TaskKey) -> String {
-        let Some(task) = self.book.task(member) else { return String::new() };
+        let Some(task) = self.replicated.task(member) else { return String::new() };
         let Some(worker) = &task.at else { return String::new() };
         let view = self.views.get(worker);
         let order = view.and_then(|v| v.orders.get(member));
--- a/components/dispatch/src/wait_lines.rs
+++ b/components/dispatch/src/wait_lines.rs
@@ -79,7 +79,7 @@
 
     /// Returns how many tasks of a step are not held back as suspects.
     fn may_start_of(&self, m: Moment, key: &StepKey, waiting: &[(TaskKey, Millis)]) -> usize {
-        let Some(spec) = self.book.step_spec(key) else { return 0 };
+        let Some(spec) = self.replicated.step_spec(key) else { return 0 };
         let waiting = waiting.iter().map(|(task, _)| task.index).collect();
         self.may_start(m, key, spec, waiting).len()
     }
--- a/components/dispatch/src/waits.rs
+++ b/components/dispatch/src/waits.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use clock::Millis;
-use workload::{Book, Command, Job, JobId, JobSpec, OpenStep, StepKey, TaskKey};
+use workload::{Command, Job, JobId, JobSpec, OpenStep, ReplicatedState, StepKey, TaskKey};
 
 use crate::input::Moment;
 use crate::limits::{FIRST_RUN_PATIENCE, LASTING_PATIENCE};
@@ -60,7 +60,7 @@
 
     /// Records which jobs a command changes. Must be called before the command is applied to the
     /// replicated state.
-    pub(crate) fn note_change(&mut self, command: &Command, book: &Book) {
+    pub(crate) fn note_change(&mut self, command: &Command, replicated: &ReplicatedState) {
         match command {
             Command::Submit { id, spec, .. } => self.add_job(*id, spec),
             Command::Cancel { id, .. } => self.note_changed(*id),
@@ -75,17 +75,17 @@
             | Command::Lapsed { worker, .. }
             | Command::WorkerCrashed { worker, .. }
             | Command::WorkerLost { worker, .. } => {
-                book.jobs_on(worker).into_iter().for_each(|job| self.note_changed(job));
+                replicated.jobs_on(worker).into_iter().for_each(|job| self.note_changed(job));
             }
             Command::Configure(_)
             | Command::WorkerJoined(_)
             | Command::Forget { .. }
-            | Command::Suspected { .. }
-            | Command::LivedOn { .. }
+            | Command::CrashSuspected { .. }
+            | Command::WorkerSurvived { .. }
             | Command::Resized { .. }
-            | Command::Cleared { .. }
-            | Command::Owned { .. }
-            | Command::Doubted { .. } => {}
+            | Command::SuspectsCleared { .. }
+            | Command::AssignOwner { .. }
+            | Command::LossesUncertain { .. } => {}
         }
     }
 
@@ -96,14 +96,14 @@
     }
 
     /// Determines which tasks wait now, and drops the jobs that have ended.
-    pub(crate) fn update(&mut self, m: Moment, book: &Book) {
+    pub(crate) fn update(&mut self, m: Moment, replicated: &ReplicatedState) {
         let mut jobs = std::mem::take(&mut self.changed);
         jobs.extend(&self.timed);
         jobs.extend(self.waiting.keys().map(|key| key.job));
         let mut before = std::mem::take(&mut self.waiting);
         for id in jobs {
-            match book.job(id).filter(|j| !j.state.is_final()) {
-                Some(job) => self.update_job(m, book, (id, job), &mut before),
+            match replicated.job(id).filter(|j| !j.state.is_final()) {
+                Some(job) => self.update_job(m, replicated, (id, job), &mut before),
                 None => self.drop_job(id),
             }
         }
@@ -112,14 +112,15 @@
     fn update_job(
         &mut self,
         m: Moment,
-        book: &Book,
+        replicated: &ReplicatedState,
         (id, job): (JobId, &Job),
         before: &mut BTreeMap<StepKey, Waiting>,
     ) {
         let Some(steps) = self.jobs.get(&id) else { return };
         for key in due_steps(m, id, job, steps) {
             let entry = OpenStep { priority: job.priority, order: job.order, key };
-            let Some(step) = book.step(&key).filter(|_| book.open().contains(&entry)) else {
+            let Some(step) = replicated.step(&key).filter(|_| replicated.open().contains(&entry))
+            else {
                 continue;
             };
             let known = before.remove(&key).unwrap_or_default();
--- a/components/dispatch/src/workers.rs
+++ b/components/dispatch/src/workers.rs
@@ -73,7 +73,7 @@
 
     /// Takes in what a worker has now; it may shrink and grow while it runs.
     fn take_capacity(&mut self, id: &WorkerId, capacity: Size) {
-        let Some(had) = self.book.worker(id).map(|w| w.info.capacity) else { return };
+        let Some(had) = self.replicated.worker(id).map(|w| w.info.capacity) else { return };
         if had != capacity {
             self.propose(Command::Resized { worker: id.clone(), capacity });
             self.note(&kinds::WORKER_RESIZED, id, format!("had={had:?} has={capacity:?}"));
@@ -82,11 +82,11 @@
 
     /// Moves what would not end in time off a worker that is leaving.
     fn clear_leaving(&mut self, m: Moment, id: &WorkerId, remaining: Option<Millis>) {
-        let Some(worker) = self.book.worker(id) else { return };
+        let Some(worker) = self.replicated.worker(id) else { return };
         let runs: Vec<(TaskKey, u32)> = worker.runs.iter().map(|(k, r)| (*k, *r)).collect();
         let stays = remaining.unwrap_or(self.limits.leaving_notice);
         for (task, run) in runs {
-            let Some(spec) = self.book.step_spec(&task.step) else { continue };
+            let Some(spec) = self.replicated.step_spec(&task.step) else { continue };
             let since = self.views.get(id).and_then(|v| v.orders.get(&task)).map(|o| o.since);
             let ran = m.now.since(since.unwrap_or(m.now));
             let too_long = spec.estimate.since(ran) > stays;
@@ -100,7 +100,7 @@
     pub(crate) fn on_left(&mut self, m: Moment, id: &WorkerId) {
         self.strangers.remove(id);
         // Without an incarnation it may come late, from a life before: only one that has said that it leaves is meant.
-        let is_meant = |life, v: &View| life == id || (id.may_mean(life) && v.leaving);
+        let is_meant = |life, v: &View| life == id || (id.may_refer_to(life) && v.leaving);
         for (_, view) in self.views.iter_mut().filter(|(life, v)| is_meant(*life, v)) {
             view.leaving = true;
             view.renew_at = view.renew_at.min(m.now);
@@ -131,7 +131,9 @@
     /// Tells which runs end with a worker's life or lease. The worker can list them no more, so nothing else
     /// tells which task was there when it ended, how young its run was, and what ran beside it.
     fn tell_lost_runs(&mut self, id: &WorkerId, why: &str) {
-        let (Some(worker), Some(view)) = (self.book.worker(id), self.views.get(id)) else { return };
+        let (Some(worker), Some(view)) = (self.replicated.worker(id), self.views.get(id)) else {
+            return;
+        };
         let now = self.now();
         let lost = worker.runs.iter().map(|(task, run)| {
             let order = view.orders.get(task);
@@ -150,7 +152,7 @@
     }
 
     pub(crate) fn sweep_runs_of(&mut self, id: &WorkerId) {
-        let Some(worker) = self.book.worker(id) else { return };
+        let Some(worker) = self.replicated.worker(id) else { return };
         let jobs: Vec<JobId> = worker.runs.keys().map(|k| k.step.job).collect();
         self.sweep.extend(jobs);
     }
@@ -170,7 +172,7 @@
         let on = self.limits.mechanisms.avoids_silent_zones;
         self.silent_zones = match on && self.views.values().any(|v| v.silent_since.is_some()) {
             true => {
-                let zone = |id: &WorkerId| self.book.worker(id).map(|w| &w.info.zone);
+                let zone = |id: &WorkerId| self.replicated.worker(id).map(|w| &w.info.zone);
                 let workers = self.views.iter().filter_map(|(id, v)| Some((zone(id)?, v)));
                 silent_zones(m.now, workers)
             }
@@ -179,7 +181,7 @@
     }
 
     fn tend_worker(&mut self, m: Moment, id: &WorkerId) {
-        let runs = self.book.worker(id).is_some_and(|w| !w.runs.is_empty());
+        let runs = self.replicated.worker(id).is_some_and(|w| !w.runs.is_empty());
         let Some(view) = self.views.get(id) else { return };
         if runs && m.now >= view.lapses_at {
             self.lapse(id);
@@ -197,10 +199,10 @@
 
     fn lapse(&mut self, id: &WorkerId) {
         self.tell_lost_runs(id, "lapsed");
-        let blame = self.blame_for_silence(id);
+        let crash_suspects = self.blame_for_silence(id);
         let Some(view) = self.views.get_mut(id) else { return };
-        let suspected = (!view.leaving && !blame.is_empty())
-            .then(|| Command::Suspected { worker: id.clone(), blame });
+        let suspected = (!view.leaving && !crash_suspects.is_empty())
+            .then(|| Command::CrashSuspected { worker: id.clone(), crash_suspects });
         let command = Command::Lapsed { worker: id.clone(), saved: saved(view) };
         view.orders.clear();
         view.rows.clear();
--- a/components/dispatch/tests/common/away.rs
+++ b/components/dispatch/tests/common/away.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use clock::Millis;
-use workload::{Book, JobId, StepKey, StepSpec, TaskKey, WorkerId};
+use workload::{JobId, ReplicatedState, StepKey, StepSpec, TaskKey, WorkerId};
 
 use super::fleet::Service;
 use super::host::Host;
@@ -42,7 +42,7 @@
 
 /// What there is around the tasks.
 pub struct Around<'a> {
-    pub book: &'a Book,
+    pub replicated: &'a ReplicatedState,
     pub hosts: &'a BTreeMap<WorkerId, Host>,
     pub service: &'a Service,
     /// When something of ours last disturbed the fleet.
@@ -52,7 +52,7 @@
 impl Around<'_> {
     /// Gives the tasks of a job that are to run all the time.
     fn wanted(&self, id: JobId) -> Vec<(TaskKey, &StepSpec)> {
-        let Some(job) = self.book.job(id).filter(|j| !j.state.is_final()) else {
+        let Some(job) = self.replicated.job(id).filter(|j| !j.state.is_final()) else {
             return Vec::new();
         };
         let steps = (0..).zip(&job.spec.steps).filter(|(_, s)| s.long_running && !s.gang);
@@ -65,7 +65,8 @@
 
     /// Tells whether a worker is well, fit for a task, allowed, not crowded, and has room for it.
     fn has_room(&self, task: &TaskKey, spec: &StepSpec, id: &WorkerId, host: &Host) -> bool {
-        let fits = host.is_usable() && spec.room().times(ROOM_FACTOR).fits(&host.free());
+        let fits =
+            host.is_usable() && spec.required_capacity().times(ROOM_FACTOR).fits(&host.free());
         let labelled = spec.constraint.as_ref().is_none_or(|l| host.info.labels.contains(l));
         let siblings = || host.lasting().filter(|t| t.step == task.step).count();
         let crowded = || spec.max_per_worker > 0 && siblings() >= spec.max_per_worker as usize;
--- a/components/dispatch/tests/common/fleet/checks.rs
+++ b/components/dispatch/tests/common/fleet/checks.rs
@@ -20,8 +20,8 @@
             self.watch.reset();
             return;
         }
-        let (now, book) = (self.bench.now, self.bench.dispatcher.book());
-        let standing = self.watch.look(now, book, &self.hosts, &self.service);
+        let (now, replicated) = (self.bench.now, self.bench.dispatcher.replicated());
+        let standing = self.watch.look(now, replicated, &self.hosts, &self.service);
         if let Some(standing) = standing {
             let figures = self.bench.dispatcher.figures();
             let trace = self.trace(standing.task.step.job);
@@ -32,7 +32,7 @@
     /// Checks that no task that lasts is away for long beside room.
     fn check_lasting(&mut self) {
         let around = Around {
-            book: &self.bench.committed,
+            replicated: &self.bench.committed,
             hosts: &self.hosts,
             service: &self.service,
             trouble_at: self.trouble_at,
--- a/components/dispatch/tests/common/fleet/crash.rs
+++ b/components/dispatch/tests/common/fleet/crash.rs
@@ -133,7 +133,7 @@
             let mut info = host.info.clone();
             // A worker that says births keeps its name.
             info.id = match old.incarnation() {
-                Some(_) => WorkerId::of_life(old.name(), Some(self.bench.now.0)),
+                Some(_) => WorkerId::with_incarnation(old.name(), Some(self.bench.now.0)),
                 None => WorkerId::from(format!("{old}'").as_str()),
             };
             self.note_trouble();
--- a/components/dispatch/tests/common/fleet/lives.rs
+++ b/components/dispatch/tests/common/fleet/lives.rs
@@ -12,7 +12,7 @@
     /// Has a worker that said no births say from now on when its life began.
     pub fn say_birth(&mut self, id: &WorkerId) {
         let Some(mut host) = self.hosts.remove(id) else { return };
-        let life = WorkerId::of_life(id.name(), Some(self.bench.now.0));
+        let life = WorkerId::with_incarnation(id.name(), Some(self.bench.now.0));
         host.info.id = life.clone();
         host.drop_held();
         let number = self.service.number(id);
--- a/components/dispatch/tests/common/host.rs
+++ b/components/dispatch/tests/common/host.rs
@@ -57,7 +57,7 @@
     }
 
     pub fn used(&self) -> Size {
-        self.runs.values().fold(Size::ZERO, |sum, p| sum.plus(&p.spec.room()))
+        self.runs.values().fold(Size::ZERO, |sum, p| sum.plus(&p.spec.required_capacity()))
     }
 
     pub fn free(&self) -> Size {
--- a/components/dispatch/tests/common/mod.rs
+++ b/components/dispatch/tests/common/mod.rs
@@ -21,8 +21,9 @@
 use errors::Result;
 use model::{InstanceId, Name, Size};
 use workload::{
-    AdvicePolicy, Book, Command, Credential, Document, End, EndKind, JobId, JobSpec, Policy,
-    PolicyReader, Queue, Service, StepKey, StepSpec, TaskKey, WorkerId, WorkerInfo,
+    AdvicePolicy, Command, Credential, Document, End, EndKind, JobId, JobSpec, Policy,
+    PolicyReader, Queue, ReplicatedState, Service, StepKey, StepSpec, TaskKey, WorkerId,
+    WorkerInfo,
 };
 
 /// Reads any text as three queues at host `h`: `/q/` for quick jobs, which come first, `/mid/`, and `/bulk/`.
@@ -65,7 +66,7 @@
             public: text.contains("public"),
             ..queue.clone()
         };
-        let service = Service { name: "s".into(), checks_room: false, max_connections: 64 };
+        let service = Service { name: "s".into(), checks_capacity: false, max_connections: 64 };
         let mut services = vec![service];
         if text.contains("other") {
             services.push(Service { name: "other".into(), ..services[0].clone() });
@@ -81,7 +82,7 @@
     pub dispatcher: Dispatcher,
     pub now: Millis,
     /// What is committed, as another member would hold it.
-    pub committed: Book,
+    pub committed: ReplicatedState,
     /// Batches that were proposed and not committed.
     pub pending: Vec<(u64, Vec<Command>)>,
     pub actions: Vec<Action>,
@@ -146,24 +147,24 @@
 impl Bench {
     /// Begins with an empty book and a configuration of three queues.
     pub fn new(config: &str) -> Bench {
-        let mut book = Book::default();
-        book.apply(&Command::Configure(Document { version: 1, text: config.into() }));
-        Bench::take_over(book, 1, Millis(1_000_000))
+        let mut replicated = ReplicatedState::default();
+        replicated.apply(&Command::Configure(Document { version: 1, text: config.into() }));
+        Bench::take_over(replicated, 1, Millis(1_000_000))
     }
 
     /// Begins as a new leader over what is committed.
-    pub fn take_over(book: Book, term: u64, now: Millis) -> Bench {
+    pub fn take_over(replicated: ReplicatedState, term: u64, now: Millis) -> Bench {
         let m = Moment { now, wall: now, leads_until: now + Millis(1_000) };
         let setup = Setup {
             limits: Limits::default(),
             term,
             reader: Arc::new(ThreeQueues),
-            book: book.clone(),
+            replicated: replicated.clone(),
         };
         Bench {
             dispatcher: Dispatcher::new(setup, m),
             now,
-            committed: book,
+            committed: replicated,
             pending: Vec::new(),
             actions: Vec::new(),
             leads: true,
--- a/components/dispatch/tests/common/watch.rs
+++ b/components/dispatch/tests/common/watch.rs
@@ -4,7 +4,7 @@
 
 use clock::Millis;
 use model::{Dimension, Size};
-use workload::{Book, JobId, OpenStep, StepSpec, TaskKey, WorkerId};
+use workload::{JobId, OpenStep, ReplicatedState, StepSpec, TaskKey, WorkerId};
 
 use super::fleet::Service;
 use super::host::Host;
@@ -65,7 +65,7 @@
     pub fn look(
         &mut self,
         now: Millis,
-        book: &Book,
+        replicated: &ReplicatedState,
         hosts: &BTreeMap<WorkerId, Host>,
         service: &Service,
     ) -> Option<Standing> {
@@ -75,8 +75,9 @@
             .collect();
         let mut since = BTreeMap::new();
         let mut standing = None;
-        for entry in book.open().iter().filter(|e| !self.faulty.contains(&e.key.job)) {
-            let (Some(spec), Some(step)) = (book.step_spec(&entry.key), book.step(&entry.key))
+        for entry in replicated.open().iter().filter(|e| !self.faulty.contains(&e.key.job)) {
+            let (Some(spec), Some(step)) =
+                (replicated.step_spec(&entry.key), replicated.step(&entry.key))
             else {
                 continue;
             };
--- a/components/dispatch/tests/common/world.rs
+++ b/components/dispatch/tests/common/world.rs
@@ -111,7 +111,7 @@
     /// Cancels a job on behalf of whoever handed it in.
     pub fn cancel(&mut self, id: JobId) {
         let path = format!("/q/{id}");
-        let owner = self.bench.dispatcher.book().ownership().owner(id).cloned();
+        let owner = self.bench.dispatcher.replicated().ownership().owner(id).cloned();
         match owner {
             None => self.bench.call_path(&path, Verb::Cancel),
             Some(name) => self.bench.call_with(with_key(&key_of(&name)), &path, Verb::Cancel),
@@ -193,9 +193,9 @@
         let (Some(limits), Action::Start { order, .. }) = (&mut self.limits, action) else {
             return;
         };
-        let book = &self.bench.committed;
-        let Some(owner) = book.ownership().owner(order.task.step.job) else { return };
-        let highest = limits.highest(book.document().version, owner);
+        let replicated = &self.bench.committed;
+        let Some(owner) = replicated.ownership().owner(order.task.step.job) else { return };
+        let highest = limits.highest(replicated.document().version, owner);
         limits.at_order.entry((order.task, order.run)).or_insert(highest);
     }
 
@@ -204,11 +204,11 @@
     fn check_limits(&self) {
         let Some(limits) = &self.limits else { return };
         let mut of: BTreeMap<&Name, (Size, u64)> = BTreeMap::new();
-        let (now, book) = (self.bench.now, &self.bench.committed);
+        let (now, replicated) = (self.bench.now, &self.bench.committed);
         let alive = self.workers.values().filter(|w| now < w.lease);
         for (task, run) in alive.flat_map(|w| &w.running) {
-            let Some(owner) = book.ownership().owner(task.step.job) else { continue };
-            let size = book.step_spec(&task.step).map_or(Size::ZERO, |s| s.size);
+            let Some(owner) = replicated.ownership().owner(task.step.job) else { continue };
+            let size = replicated.step_spec(&task.step).map_or(Size::ZERO, |s| s.size);
             let limit = limits.at_order.get(&(*task, *run)).copied().unwrap_or(0);
             let entry = of.entry(owner).or_default();
             *entry = (entry.0.plus(&size), entry.1.max(limit));
--- a/components/dispatch/tests/crash_schedules.rs
+++ b/components/dispatch/tests/crash_schedules.rs
@@ -12,7 +12,7 @@
 use common::{step, task};
 use model::Size;
 use rand::seq::IndexedRandom;
-use workload::{JobId, JobState, MOST_CRASHES, MOST_CRASHES_IN_COMPANY, StepSpec, WorkerId};
+use workload::{JobId, JobState, MAX_CRASHES, MAX_SHARED_CRASHES, StepSpec, WorkerId};
 
 /// The seeds that are played by default.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=8;
@@ -101,7 +101,7 @@
 fn check(f: &Fleet, seed: u64) {
     let faulty = f.crashes.faulty_jobs();
     for (task, crashes) in &f.crashes.under {
-        let most = u32::from(MOST_CRASHES_IN_COMPANY) + LATE_STARTS;
+        let most = u32::from(MAX_SHARED_CRASHES) + LATE_STARTS;
         let bounded = !faulty.contains(&task.step.job) || *crashes <= most;
         assert!(bounded, "seed {seed}: {crashes} workers crashed under {task}");
     }
@@ -112,7 +112,7 @@
             true => assert_eq!(state, Some(JobState::Failed), "seed {seed}: {id}, {crashes}"),
             false if state == Some(JobState::Failed) => {
                 println!("seed {seed}: {id} is given up after {crashes} crashes");
-                assert!(crashes >= u32::from(MOST_CRASHES), "seed {seed}: {id}, {crashes}");
+                assert!(crashes >= u32::from(MAX_CRASHES), "seed {seed}: {id}, {crashes}");
             }
             false if f.jobs[id].kind == Kind::Lasting => {
                 assert_eq!(state, Some(JobState::Running), "seed {seed}: {id}");
--- a/components/dispatch/tests/crashes.rs
+++ b/components/dispatch/tests/crashes.rs
@@ -27,7 +27,7 @@
 use workload::{JobId, JobState, StepSpec, WorkerId};
 
 /// How many workers may crash under a task before it is given up.
-const MOST_CRASHES: u32 = 3;
+const MAX_CRASHES: u32 = 3;
 /// The same where something else that is young was there each time, so that it is not sure which was at fault.
 const MOST_IN_COMPANY: u32 = 4;
 /// Long enough for three crashes, each known within 4 s, and the calls for advice between them.
@@ -74,7 +74,7 @@
         f.make_faulty(faulty, fault);
         f.pass(UNDERSTOOD);
         let crashes = f.crashes.under(&faulty);
-        assert_eq!(crashes, MOST_CRASHES, "seed {seed}: workers crashed under the task");
+        assert_eq!(crashes, MAX_CRASHES, "seed {seed}: workers crashed under the task");
         assert_eq!(state(&f, job), Some(JobState::Failed), "seed {seed}");
         let running = f.hosts.values().filter(|h| !h.fake.running.is_empty()).count();
         assert_eq!(running, 0, "seed {seed}: its other tasks are stopped");
@@ -122,7 +122,7 @@
         f.pass(UNDERSTOOD);
         assert_eq!(state(&f, job), Some(JobState::Failed), "seed {seed}");
         let crashes = f.crashes.by_job(job);
-        assert_eq!(crashes, at_first + MOST_CRASHES - 1, "seed {seed}: {at_first} at first");
+        assert_eq!(crashes, at_first + MAX_CRASHES - 1, "seed {seed}: {at_first} at first");
     }
 }
 
@@ -144,7 +144,7 @@
             f.take_over();
         }
         f.pass(UNDERSTOOD);
-        assert_eq!(f.crashes.under(&faulty), MOST_CRASHES, "seed {seed}");
+        assert_eq!(f.crashes.under(&faulty), MAX_CRASHES, "seed {seed}");
         assert_eq!(state(&f, job), Some(JobState::Failed), "seed {seed}");
     }
 }
@@ -164,7 +164,7 @@
         f.make_faulty(faulty, Fault::After(Millis(10)));
         f.pass(Millis(120_000));
         let crashes = f.crashes.under(&faulty);
-        assert!(crashes <= MOST_CRASHES + 2, "seed {seed}: {crashes}");
+        assert!(crashes <= MAX_CRASHES + 2, "seed {seed}: {crashes}");
         assert_eq!(state(&f, job), Some(JobState::Failed), "seed {seed}");
     }
 }
@@ -296,7 +296,7 @@
             };
             assert_eq!(state(&f, *id), Some(wanted), "seed {seed}: {id}");
             let crashes = f.crashes.by_job(*id);
-            assert!(crashes <= MOST_CRASHES, "seed {seed}: {id} took down {crashes} workers");
+            assert!(crashes <= MAX_CRASHES, "seed {seed}: {id} took down {crashes} workers");
         }
     }
 }
@@ -320,7 +320,7 @@
             let wanted = if *id == job { JobState::Failed } else { JobState::Completed };
             assert_eq!(state(&f, *id), Some(wanted), "seed {seed}: {id}");
         }
-        assert!(f.crashes.by_job(job) <= MOST_CRASHES, "seed {seed}");
+        assert!(f.crashes.by_job(job) <= MAX_CRASHES, "seed {seed}");
     }
 }
 
--- a/components/dispatch/tests/forgotten.rs
+++ b/components/dispatch/tests/forgotten.rs
@@ -23,7 +23,7 @@
     let all = f.workers(|_| true);
     all.iter().for_each(|id| f.set_silent(id, true));
     f.pass(LONG_CUT);
-    let is_known = |f: &Fleet, id| f.bench.dispatcher.book().worker(id).is_some();
+    let is_known = |f: &Fleet, id| f.bench.dispatcher.replicated().worker(id).is_some();
     assert!(all.iter().all(|id| !is_known(&f, id)), "all of them are forgotten");
     all.iter().for_each(|id| f.set_silent(id, false));
     mix::gang(&mut f);
--- a/components/dispatch/tests/lasting_schedules.rs
+++ b/components/dispatch/tests/lasting_schedules.rs
@@ -19,7 +19,7 @@
 use model::Size;
 use rand::seq::IndexedRandom;
 use rstest::rstest;
-use workload::{JobId, JobState, MOST_CRASHES, StepSpec, TaskKey, WorkerId};
+use workload::{JobId, JobState, MAX_CRASHES, StepSpec, TaskKey, WorkerId};
 
 /// How many events happen in one schedule, one after the other.
 const EVENTS: usize = 25;
@@ -164,7 +164,7 @@
                 assert_eq!(state, Some(JobState::Failed), "seed {seed}: {id}, {kind:?}");
             }
             _ if state == Some(JobState::Failed) => {
-                let is_lost = most >= FEWEST_FAILS || crashes(f, *id) >= u32::from(MOST_CRASHES);
+                let is_lost = most >= FEWEST_FAILS || crashes(f, *id) >= u32::from(MAX_CRASHES);
                 assert!(is_lost, "seed {seed}: {id} failed, {most} runs of a task were wasted");
             }
             _ => assert_eq!(state, Some(JobState::Completed), "seed {seed}: {id}, {kind:?}"),
--- a/components/dispatch/tests/lasting_waits.rs
+++ b/components/dispatch/tests/lasting_waits.rs
@@ -201,11 +201,11 @@
 
 impl Found {
     fn look(&mut self, f: &Fleet) {
-        let (now, book) = (f.bench.now, f.bench.dispatcher.book());
+        let (now, replicated) = (f.bench.now, f.bench.dispatcher.replicated());
         let mut found = BTreeMap::new();
-        for entry in book.open() {
-            let lasts = book.step_spec(&entry.key).is_some_and(|s| s.long_running);
-            let step = book.step(&entry.key).filter(|_| lasts);
+        for entry in replicated.open() {
+            let lasts = replicated.step_spec(&entry.key).is_some_and(|s| s.long_running);
+            let step = replicated.step(&entry.key).filter(|_| lasts);
             for index in step.into_iter().flat_map(|s| s.waiting()) {
                 let task = TaskKey { step: entry.key, index };
                 let known = self.since.get(&task).copied();
--- a/components/dispatch/tests/late_orders.rs
+++ b/components/dispatch/tests/late_orders.rs
@@ -292,7 +292,7 @@
     b.join("w1", 4);
     leave(&mut b, "w1");
     b.submit(1, spec(vec![step(1)]));
-    let run = |b: &Bench| b.dispatcher.book().task(&FIRST).map(|t| t.run);
+    let run = |b: &Bench| b.dispatcher.replicated().task(&FIRST).map(|t| t.run);
     assert_eq!(run(&b), Some(0), "nor placed there only to be taken back");
     b.commit();
     b.pass(Millis(500));
--- a/components/dispatch/tests/lives.rs
+++ b/components/dispatch/tests/lives.rs
@@ -12,7 +12,7 @@
 const BORN: u64 = 1_790_000_000_000;
 
 fn life(born: u64) -> WorkerId {
-    WorkerId::of_life("w", Some(born))
+    WorkerId::with_incarnation("w", Some(born))
 }
 
 fn name(life: &WorkerId) -> &str {
@@ -33,7 +33,7 @@
     b.submit(2, spec(vec![step(2)]));
     b.commit();
     (0..2).for_each(|i| b.started("w", task(2, 0, i), 1, Ok(())));
-    assert_eq!(b.committed.worker(&worker("w")).map(|w| w.seen), Some(4));
+    assert_eq!(b.committed.worker(&worker("w")).map(|w| w.last_end), Some(4));
     b
 }
 
--- a/components/dispatch/tests/restart_waves.rs
+++ b/components/dispatch/tests/restart_waves.rs
@@ -12,7 +12,7 @@
 use model::Size;
 use rand::seq::SliceRandom;
 use rstest::rstest;
-use workload::{JobId, JobState, MOST_CRASHES_AT_ALL, StepSpec, WorkerId};
+use workload::{JobId, JobState, MAX_TOTAL_CRASHES, StepSpec, WorkerId};
 
 /// How many times workers are restarted in one series.
 const WAVES: usize = 4;
@@ -155,7 +155,7 @@
             let trace = f.trace(job);
             assert!(given_up(&f).contains(&job), "seed {seed}: {job} goes on\n{trace}");
             let crashes = f.crashes.by_job(job);
-            let most = u32::from(MOST_CRASHES_AT_ALL);
+            let most = u32::from(MAX_TOTAL_CRASHES);
             assert!(crashes <= most, "seed {seed}: {job} took down {crashes} workers\n{trace}");
         }
     }
--- a/components/dispatch/tests/rules.rs
+++ b/components/dispatch/tests/rules.rs
@@ -36,7 +36,7 @@
     let token = b.submit(1, spec(vec![step(1)]));
     assert!(matches!(b.answer(token), Some(Answer::NotDone { .. })));
     assert!(b.pending.is_empty());
-    assert!(b.dispatcher.book().job(job(1)).is_none());
+    assert!(b.dispatcher.replicated().job(job(1)).is_none());
 }
 
 #[test]
@@ -544,7 +544,7 @@
     assert_eq!(b.starts().len(), 2, "the order is sent again");
     b.started("w1", task(1, 0, 0), 1, Err(CallError::NotSent("no connection".into())));
     b.commit();
-    assert_eq!(b.dispatcher.book().worker(&worker("w1")).map(|w| w.runs.len()), Some(1));
+    assert_eq!(b.dispatcher.replicated().worker(&worker("w1")).map(|w| w.runs.len()), Some(1));
 }
 
 #[test]
@@ -570,9 +570,9 @@
     b.pass(Millis(1));
     b.renewal_fails("old", CallError::Refused(Refusal::OtherLife));
     b.commit();
-    let book = b.dispatcher.book();
-    assert!(book.worker(&worker("old")).is_none());
-    assert_eq!(book.worker(&worker("new")).map(|w| w.runs.len()), Some(4));
+    let replicated = b.dispatcher.replicated();
+    assert!(replicated.worker(&worker("old")).is_none());
+    assert_eq!(replicated.worker(&worker("new")).map(|w| w.runs.len()), Some(4));
 }
 
 /// A worker that was quarantined gets one trial run, and none that would fail its job. Where it is the only worker,
--- a/components/dispatch/tests/schedules.rs
+++ b/components/dispatch/tests/schedules.rs
@@ -18,7 +18,7 @@
     // In the end every job that can be done is done, once no limit forbids it.
     world.lift_limits();
     world.workers.values_mut().for_each(|w| w.silent = false);
-    let lasting = world.bench.dispatcher.book().jobs().iter();
+    let lasting = world.bench.dispatcher.replicated().jobs().iter();
     let lasting: Vec<_> =
         lasting.filter(|(_, j)| j.spec.is_long_running()).map(|(id, _)| *id).collect();
     for id in lasting {
--- a/components/dispatch/tests/strangers.rs
+++ b/components/dispatch/tests/strangers.rs
@@ -45,7 +45,7 @@
 
 #[test]
 fn before_any_configuration_nobody_is_called() {
-    let mut b = Bench::take_over(workload::Book::default(), 1, Millis(1_000_000));
+    let mut b = Bench::take_over(workload::ReplicatedState::default(), 1, Millis(1_000_000));
     b.feed(Input::News(news("w", 8)));
     b.commit();
     b.pass(Millis(10));
--- a/components/dispatch/tests/wait_lines.rs
+++ b/components/dispatch/tests/wait_lines.rs
@@ -8,7 +8,10 @@
 use common::{Bench, SILENT, end, job, news, row, spec, step, task, worker};
 use dispatch::{Action, CallError, Input, Refusal, RunRow, ServiceFigures, Verb, WorkerNews};
 use model::{Name, Size};
-use workload::{Blame, Book, Command, Document, EndKind, StepSpec, TaskKey, WorkerId, WorkerInfo};
+use workload::{
+    Command, CrashSuspects, Document, EndKind, ReplicatedState, StepSpec, TaskKey, WorkerId,
+    WorkerInfo,
+};
 
 /// Returns a step of long-running tasks.
 fn lasting(count: u32) -> StepSpec {
@@ -292,11 +295,11 @@
 
 /// Makes a replicated state with jobs of so many long-running tasks, each of which has crashed so many workers while
 /// young.
-fn crashed(jobs: &[(u64, &str, u8, u32, u32)]) -> Book {
-    let mut book = Book::default();
-    book.apply(&Command::Configure(Document { version: 1, text: "".into() }));
+fn crashed(jobs: &[(u64, &str, u8, u32, u32)]) -> ReplicatedState {
+    let mut replicated = ReplicatedState::default();
+    replicated.apply(&Command::Configure(Document { version: 1, text: "".into() }));
     for (id, queue, priority, tasks, crashes) in jobs {
-        book.apply(&Command::Submit {
+        replicated.apply(&Command::Submit {
             id: job(*id),
             at: Millis(1_000),
             queue: (*queue).into(),
@@ -306,14 +309,15 @@
             spec: spec(vec![lasting(*tasks)]),
         });
         for run in 1..=*crashes {
-            let under = (0..*tasks).map(|i| (task(*id, 0, i), run)).collect();
-            let blame = Blame { under, young: true, ..Blame::default() };
+            let primary = (0..*tasks).map(|i| (task(*id, 0, i), run)).collect();
+            let crash_suspects =
+                CrashSuspects { primary, primary_young: true, ..CrashSuspects::default() };
             let worker = worker(&format!("gone-{id}-{run}"));
             let at = Millis(2_000);
-            book.apply(&Command::WorkerCrashed { worker, saved: vec![], blame, at });
+            replicated.apply(&Command::WorkerCrashed { worker, saved: vec![], crash_suspects, at });
         }
     }
-    book
+    replicated
 }
 
 #[test]
--- a/components/model/src/size.rs
+++ b/components/model/src/size.rs
@@ -81,7 +81,7 @@
     }
 
     /// Gives the lesser of both in each dimension.
-    pub fn least(&self, other: &Size) -> Size {
+    pub fn elementwise_min(&self, other: &Size) -> Size {
         Size {
             cpu_milli: self.cpu_milli.min(other.cpu_milli),
             memory_mb: self.memory_mb.min(other.memory_mb),
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -191,7 +191,7 @@
     fn on_log(&mut self, event: LogEvent) {
         let now = self.clock.now();
         match event {
-            LogEvent::Leads { term, book } => self.lead(term, *book),
+            LogEvent::Leads { term, replicated } => self.lead(term, *replicated),
             LogEvent::Committed { term, batch } => {
                 if self.leading.as_ref().is_some_and(|l| l.term == term) {
                     self.measure_commit(now, batch);
--- a/components/node/src/leading.rs
+++ b/components/node/src/leading.rs
@@ -28,12 +28,13 @@
 const LASTING_WAITING: &str = "heathvale_lasting_waiting";
 
 impl Control {
-    pub(crate) fn lead(&mut self, term: u64, book: workload::Book) {
-        let (jobs, workers) = (book.jobs().len(), book.workers().len());
+    pub(crate) fn lead(&mut self, term: u64, replicated: workload::ReplicatedState) {
+        let (jobs, workers) = (replicated.jobs().len(), replicated.workers().len());
         let details = format!("term={term} jobs={jobs} workers={workers}");
         tell(&kinds::TERM_BEGUN, &self.settings.name, &details);
         let m = self.moment();
-        let setup = Setup { limits: self.settings.limits, term, reader: self.reader.clone(), book };
+        let setup =
+            Setup { limits: self.settings.limits, term, reader: self.reader.clone(), replicated };
         let dispatcher = Dispatcher::new(setup, m);
         self.leading = Some(LeaderTerm::new(term, dispatcher));
         self.peers.follow(self.settings.id(), term, m.now);
--- a/components/node/src/log_store.rs
+++ b/components/node/src/log_store.rs
@@ -8,7 +8,7 @@
 use errors::{Error, Result};
 use model::Incarnation;
 use storage::DataFolder;
-use workload::Book;
+use workload::ReplicatedState;
 
 use crate::settings::NodeSettings;
 
@@ -31,7 +31,7 @@
 /// A disk that is open and was read back.
 pub(crate) struct OpenedLog {
     pub(crate) replica: Replica,
-    pub(crate) book: Book,
+    pub(crate) replicated: ReplicatedState,
     /// The index of the last entry that the book holds.
     pub(crate) applied: u64,
     /// The disk's number.
@@ -73,11 +73,11 @@
         timing: TIMING,
         seed: rand::random(),
     };
-    let book = Book::decode(&restored.snapshot.data)?;
+    let replicated = ReplicatedState::decode(&restored.snapshot.data)?;
     let applied = restored.snapshot.last_index;
     let (snapshot_bytes, entries) = (restored.snapshot.data.len(), restored.entries.len());
     let replica = Replica::new(Node::new(cfg, restored, clock.now()), disk);
-    Ok(OpenedLog { replica, book, applied, disk: incarnation, cut, snapshot_bytes, entries })
+    Ok(OpenedLog { replica, replicated, applied, disk: incarnation, cut, snapshot_bytes, entries })
 }
 
 /// Opens a disk that has failed. What reads back may lie in the kernel's memory alone, as a sync that
--- a/components/node/src/log_thread.rs
+++ b/components/node/src/log_thread.rs
@@ -13,7 +13,7 @@
 use model::{Incarnation, InstanceId};
 use tokio::sync::mpsc::UnboundedSender;
 use transport::Links;
-use workload::{Book, Command};
+use workload::{Command, ReplicatedState};
 
 use crate::log_store::{self, OpenedLog};
 use crate::message::Message;
@@ -44,7 +44,7 @@
 /// What the log tells.
 pub(crate) enum LogEvent {
     /// This instance leads, and this is everything committed up to there.
-    Leads { term: u64, book: Box<Book> },
+    Leads { term: u64, replicated: Box<ReplicatedState> },
     /// Every batch up to this one is committed.
     Committed { term: u64, batch: u64 },
     /// This instance leads no more.
@@ -98,7 +98,7 @@
     let disk = opened.disk;
     let log = LogThread {
         replica: Some(opened.replica),
-        book: opened.book,
+        replicated: opened.replicated,
         applied: opened.applied,
         settings,
         failed_at: Millis::ZERO,
@@ -123,7 +123,7 @@
     /// The member with its disk; nothing while the disk cannot be used.
     replica: Option<Replica>,
     /// What is committed.
-    book: Book,
+    replicated: ReplicatedState,
     applied: u64,
     settings: NodeSettings,
     /// When the disk failed, and when it is tried again.
@@ -192,7 +192,7 @@
         }
         match log_store::open_again(&self.settings, &self.clock) {
             Ok(opened) => {
-                self.book = opened.book;
+                self.replicated = opened.replicated;
                 self.applied = opened.applied;
                 self.tell_members(opened.replica.node().membership());
                 self.replica = Some(opened.replica);
@@ -264,7 +264,7 @@
         self.act_on(flushed)?;
         let Some(replica) = &mut self.replica else { return Ok(()) };
         if replica.node().log_len() > COMPACT_AFTER && self.applied > 0 {
-            let data = self.book.encode()?;
+            let data = self.replicated.encode()?;
             replica.compact(self.applied, data.into())?;
         }
         Ok(())
@@ -297,7 +297,7 @@
     fn apply(&mut self, committed: Committed) -> Result<()> {
         match committed {
             Committed::Snapshot(snapshot) => {
-                self.book = Book::decode(&snapshot.data)?;
+                self.replicated = ReplicatedState::decode(&snapshot.data)?;
                 self.applied = snapshot.last_index;
             }
             Committed::Entry(entry) => {
@@ -308,7 +308,7 @@
                         reason: e.to_string(),
                     };
                     let commands: Vec<Command> = postcard::from_bytes(data).map_err(fault)?;
-                    commands.iter().for_each(|c| self.book.apply(c));
+                    commands.iter().for_each(|c| self.replicated.apply(c));
                 }
             }
         }
@@ -333,7 +333,7 @@
         }
         if self.leads.is_none() && until > now {
             self.leads = Some(term);
-            self.tell(LogEvent::Leads { term, book: Box::new(self.book.clone()) });
+            self.tell(LogEvent::Leads { term, replicated: Box::new(self.replicated.clone()) });
         }
         if self.leads.is_some() {
             self.leads_until.store(until.0, Ordering::Release);
--- a/components/node/src/recent_news.rs
+++ b/components/node/src/recent_news.rs
@@ -29,7 +29,7 @@
     /// Drops what a worker that has left announced; where it does not say which life it was, that of lives that leave.
     pub(crate) fn remove(&mut self, worker: &WorkerId) {
         let is_meant = |id: &WorkerId, news: &WorkerNews| {
-            id == worker || (worker.may_mean(id) && news.leaving)
+            id == worker || (worker.may_refer_to(id) && news.leaving)
         };
         self.by_worker.retain(|id, (_, news)| !is_meant(id, news));
     }
--- a/components/workload/src/command.rs
+++ b/components/workload/src/command.rs
@@ -6,7 +6,9 @@
 use model::{Name, Size};
 use serde::{Deserialize, Serialize};
 
-use crate::{Blame, Document, DoubtfulLoss, JobId, JobSpec, TaskKey, WorkerId, WorkerInfo};
+use crate::{
+    CrashSuspects, Document, JobId, JobSpec, TaskKey, UncertainLoss, WorkerId, WorkerInfo,
+};
 
 /// How a run ended on its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -40,7 +42,7 @@
     pub checkpoint: Arc<str>,
 }
 
-/// A change of the [`crate::Book`].
+/// A change of the [`crate::ReplicatedState`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
     /// Puts a configuration in force if its version is higher than the one held.
@@ -120,17 +122,17 @@
         /// The newest progress known of its runs.
         saved: Vec<(TaskKey, Arc<str>)>,
         /// The runs that it may have crashed under, beside those that had lapsed on it before.
-        blame: Blame,
+        crash_suspects: CrashSuspects,
         /// When, by the leader's wall clock.
         at: Millis,
     },
     /// The runs that are about to lapse on a worker may have ended it; whether they have is known once it is
     /// heard of again.
-    Suspected {
+    CrashSuspected {
         /// The worker.
         worker: WorkerId,
         /// The runs.
-        blame: Blame,
+        crash_suspects: CrashSuspects,
     },
     /// A worker that runs nothing was not heard of for so long that it counts as lost.
     WorkerLost {
@@ -140,7 +142,7 @@
         at: Millis,
     },
     /// A worker on which runs have lapsed was heard of again: it had only been out of reach.
-    LivedOn {
+    WorkerSurvived {
         /// The worker.
         worker: WorkerId,
     },
@@ -152,12 +154,12 @@
         capacity: Size,
     },
     /// Tasks under which workers had crashed have run for long enough to be cleared.
-    Cleared {
+    SuspectsCleared {
         /// The tasks; of gangs the first one.
         tasks: Vec<TaskKey>,
     },
     /// Fixes which organisation a job belongs to that is about to be accepted.
-    Owned {
+    AssignOwner {
         /// The job's id.
         job: JobId,
         /// The organisation.
@@ -165,8 +167,8 @@
     },
     /// A worker is about to count as crashed among so many that chance may have hit its runs. What counts against them all
     /// the same is in the blame of the crash.
-    Doubted {
+    LossesUncertain {
         /// The runs.
-        losses: Vec<DoubtfulLoss>,
+        losses: Vec<UncertainLoss>,
     },
 }
--- a/components/workload/src/crashes.rs
+++ b/components/workload/src/crashes.rs
@@ -1,7 +1,7 @@
 //! How often workers have crashed under tasks: a worker's life ended while a run was on it.
 //!
 //! A worker that has ended lists no failed run, so attempts alone do not bound how often a task that ends its
-//! workers is started. The counts are part of the [`crate::Book`], so that a change of leader, a snapshot and a
+//! workers is started. The counts are part of the [`crate::ReplicatedState`], so that a change of leader, a snapshot and a
 //! repeated command neither lose nor double one. docs/design/platform.md tells what counts as a crash.
 
 use std::collections::BTreeMap;
@@ -12,35 +12,35 @@
 
 /// How many workers may crash under a task until its job is given up, if nothing else can have ended the last one. Two
 /// may have crashed by coincidence.
-pub const MOST_CRASHES: u16 = 3;
+pub const MAX_CRASHES: u16 = 3;
 /// How many may crash under it if other young runs were there each time, which may have been at fault.
-pub const MOST_CRASHES_IN_COMPANY: u16 = 4;
+pub const MAX_SHARED_CRASHES: u16 = 4;
 /// How many may crash under it at all, whatever is more likely to blame. It is never started once as many have crashed,
 /// or may have.
-pub const MOST_CRASHES_AT_ALL: u16 = 5;
+pub const MAX_TOTAL_CRASHES: u16 = 5;
 
 /// The runs that a worker may have crashed under.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Blame {
+pub struct CrashSuspects {
     /// Those that may have ended it: the young ones or, without any, all.
-    pub under: Vec<(TaskKey, u32)>,
+    pub primary: Vec<(TaskKey, u32)>,
     /// Whether those were young.
-    pub young: bool,
+    pub primary_young: bool,
     /// Those that had been well for a while beside young ones. They are suspect, and given up last.
-    pub beside: Vec<(TaskKey, u32)>,
+    pub secondary: Vec<(TaskKey, u32)>,
     /// Whether the worker fell silent by itself, and not with others.
-    pub alone: bool,
+    pub silent_alone: bool,
 }
 
-impl Blame {
+impl CrashSuspects {
     /// Tells whether there is nobody to blame.
     pub fn is_empty(&self) -> bool {
-        self.under.is_empty() && self.beside.is_empty()
+        self.primary.is_empty() && self.secondary.is_empty()
     }
 
     /// Gives all runs that are suspect.
     pub fn runs(&self) -> impl Iterator<Item = &(TaskKey, u32)> {
-        self.under.iter().chain(&self.beside)
+        self.primary.iter().chain(&self.secondary)
     }
 }
 
@@ -64,7 +64,7 @@
 pub struct CrashLedger {
     records: BTreeMap<TaskKey, Record>,
     /// The runs that have lapsed on workers that were not heard of since.
-    lapsed: BTreeMap<WorkerId, Blame>,
+    lapsed: BTreeMap<WorkerId, CrashSuspects>,
 }
 
 impl CrashLedger {
@@ -93,8 +93,8 @@
     pub(crate) fn must_wait_with(&self, task: &TaskKey, in_doubt: u16) -> bool {
         let Some(r) = self.records.get(task).filter(|r| r.open_lapses > 0) else { return false };
         // Of workers that fell silent together most live on, so nothing waits for news of them before it must.
-        let may_be_given_up = r.open_alone > 0 && r.crashes + r.open_alone >= MOST_CRASHES;
-        may_be_given_up || r.crashes + r.open_lapses + in_doubt >= MOST_CRASHES_AT_ALL
+        let may_be_given_up = r.open_alone > 0 && r.crashes + r.open_alone >= MAX_CRASHES;
+        may_be_given_up || r.crashes + r.open_lapses + in_doubt >= MAX_TOTAL_CRASHES
     }
 
     /// Gives the tasks under which workers have crashed, and under how many of them.
@@ -105,7 +105,7 @@
     /// Tells whether a job that has failed was given up because workers crashed under one of its tasks.
     pub fn gave_up(&self, job: JobId) -> bool {
         let of_job = self.suspects().filter(|(task, _)| task.step.job == job);
-        of_job.map(|(_, crashes)| crashes).any(|c| c >= MOST_CRASHES)
+        of_job.map(|(_, crashes)| crashes).any(|c| c >= MAX_CRASHES)
     }
 
     /// Tells whether runs have lapsed on a worker that was not heard of since.
@@ -114,13 +114,13 @@
     }
 
     /// Gives the runs that have lapsed on a worker that was not heard of since, gangs by their first tasks.
-    pub fn lapsed_runs(&self, worker: &WorkerId) -> Option<&Blame> {
+    pub fn lapsed_runs(&self, worker: &WorkerId) -> Option<&CrashSuspects> {
         self.lapsed.get(worker)
     }
 
     /// Gives the tasks of the runs that have lapsed on a worker that was not heard of since.
     pub(crate) fn lapsed_on(&self, worker: &WorkerId) -> impl Iterator<Item = &TaskKey> {
-        self.lapsed.get(worker).into_iter().flat_map(Blame::runs).map(|(task, _)| task)
+        self.lapsed.get(worker).into_iter().flat_map(CrashSuspects::runs).map(|(task, _)| task)
     }
 
     /// Counts a crash; gives how many there are now.
@@ -135,31 +135,32 @@
     }
 
     /// Notes runs that have lapsed on a worker of which it is not known whether it lives on.
-    pub(crate) fn lapse(&mut self, worker: &WorkerId, blame: Blame) {
+    pub(crate) fn lapse(&mut self, worker: &WorkerId, crash_suspects: CrashSuspects) {
         self.settle(worker);
-        if blame.is_empty() {
+        if crash_suspects.is_empty() {
             return;
         }
-        for (task, _) in blame.runs() {
+        for (task, _) in crash_suspects.runs() {
             let record = self.records.entry(*task).or_default();
             record.open_lapses += 1;
-            record.open_alone += u16::from(blame.alone);
+            record.open_alone += u16::from(crash_suspects.silent_alone);
         }
-        self.lapsed.insert(worker.clone(), blame);
+        self.lapsed.insert(worker.clone(), crash_suspects);
     }
 
     /// Takes the lapsed runs of a worker whose fate is known.
-    pub(crate) fn settle(&mut self, worker: &WorkerId) -> Blame {
-        let blame = self.lapsed.remove(worker).unwrap_or_default();
-        for (task, _) in blame.runs() {
+    pub(crate) fn settle(&mut self, worker: &WorkerId) -> CrashSuspects {
+        let crash_suspects = self.lapsed.remove(worker).unwrap_or_default();
+        for (task, _) in crash_suspects.runs() {
             let Some(record) = self.records.get_mut(task) else { continue };
             record.open_lapses = record.open_lapses.saturating_sub(1);
-            record.open_alone = record.open_alone.saturating_sub(u16::from(blame.alone));
+            record.open_alone =
+                record.open_alone.saturating_sub(u16::from(crash_suspects.silent_alone));
             if record.crashes == 0 && record.open_lapses == 0 {
                 self.records.remove(task);
             }
         }
-        blame
+        crash_suspects
     }
 
     /// Clears a task that has come to its end, or that has run for long enough.
@@ -175,10 +176,10 @@
     /// Forgets the tasks of jobs that are forgotten.
     pub(crate) fn retain(&mut self, is_known: impl Fn(JobId) -> bool) {
         self.records.retain(|task, _| is_known(task.step.job));
-        for blame in self.lapsed.values_mut() {
-            blame.under.retain(|(task, _)| is_known(task.step.job));
-            blame.beside.retain(|(task, _)| is_known(task.step.job));
+        for crash_suspects in self.lapsed.values_mut() {
+            crash_suspects.primary.retain(|(task, _)| is_known(task.step.job));
+            crash_suspects.secondary.retain(|(task, _)| is_known(task.step.job));
         }
-        self.lapsed.retain(|_, blame| !blame.is_empty());
+        self.lapsed.retain(|_, crash_suspects| !crash_suspects.is_empty());
     }
 }
--- a/components/workload/src/ids.rs
+++ b/components/workload/src/ids.rs
@@ -95,7 +95,7 @@
 impl WorkerId {
     /// Gives the life of a worker by its incarnation, a number that no other life under this name has. Lives have no
     /// order by it: the worker takes it from its wall clock.
-    pub fn of_life(name: &str, incarnation: Option<u64>) -> WorkerId {
+    pub fn with_incarnation(name: &str, incarnation: Option<u64>) -> WorkerId {
         match incarnation {
             Some(incarnation) => WorkerId(format!("{name}{SEPARATOR}{incarnation}").into()),
             // The last sign of its kind is ours.
@@ -116,16 +116,16 @@
 
     /// Gives the id that a worker of this name has as long as it tells no incarnation.
     pub fn without_incarnation(&self) -> WorkerId {
-        WorkerId::of_life(self.name(), None)
+        WorkerId::with_incarnation(self.name(), None)
     }
 
     /// Gives what the ids of all lives under this name begin with that have an incarnation.
-    pub fn any_incarnation(&self) -> WorkerId {
+    pub fn incarnation_prefix(&self) -> WorkerId {
         WorkerId(format!("{}{SEPARATOR}", self.name()).into())
     }
 
     /// Tells whether this id may mean a life: it is that life's own, or it tells the name alone.
-    pub fn may_mean(&self, life: &WorkerId) -> bool {
+    pub fn may_refer_to(&self, life: &WorkerId) -> bool {
         self == life || (self.incarnation().is_none() && self.name() == life.name())
     }
 }
--- a/components/workload/src/ownership.rs
+++ b/components/workload/src/ownership.rs
@@ -1,6 +1,6 @@
 //! Which organisation each job belongs to, and what each organisation has running.
 //!
-//! Part of the [`crate::Book`], so that a change of leader neither loses an owner nor forgets a run that counts
+//! Part of the [`crate::ReplicatedState`], so that a change of leader neither loses an owner nor forgets a run that counts
 //! against a limit.
 
 use std::collections::BTreeMap;
--- a/components/workload/src/policy.rs
+++ b/components/workload/src/policy.rs
@@ -79,7 +79,7 @@
     /// Its name.
     pub name: Name,
     /// Whether its workers refuse what does not fit.
-    pub checks_room: bool,
+    pub checks_capacity: bool,
     /// The most connections to one of its workers.
     pub max_connections: usize,
 }
--- a/components/workload/src/book.rs
+++ b/components/workload/src/replicated_state.rs
@@ -9,9 +9,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    Blame, Command, CrashLedger, Document, Doubts, End, EndKind, Job, JobId, JobState,
-    MOST_CRASHES, MOST_CRASHES_AT_ALL, MOST_CRASHES_IN_COMPANY, Ownership, Round, StepKey,
-    StepSpec, StepState, TaskKey, TaskState, Worker, WorkerId,
+    Command, CrashLedger, CrashSuspects, Document, End, EndKind, Job, JobId, JobState, MAX_CRASHES,
+    MAX_SHARED_CRASHES, MAX_TOTAL_CRASHES, Ownership, Round, StepKey, StepSpec, StepState, TaskKey,
+    TaskState, UncertainLosses, Worker, WorkerId,
 };
 
 /// A step with tasks that wait for a worker and that nothing earlier holds back, in the order in
@@ -28,7 +28,7 @@
 
 /// Every job, run and worker that the log tells of.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Book {
+pub struct ReplicatedState {
     document: Document,
     jobs: BTreeMap<JobId, Job>,
     workers: BTreeMap<WorkerId, Worker>,
@@ -42,34 +42,35 @@
     ownership: Ownership,
     /// Written behind that, for the same reason, if there are any.
     #[serde(skip)]
-    doubts: Doubts,
+    uncertain_losses: UncertainLosses,
 }
 
-impl Book {
+impl ReplicatedState {
     /// Reads a book back from a snapshot; no bytes give an empty one.
     ///
     /// # Errors
     /// [`Error::Decode`] if the bytes are no book.
-    pub fn decode(bytes: &[u8]) -> Result<Book> {
+    pub fn decode(bytes: &[u8]) -> Result<ReplicatedState> {
         if bytes.is_empty() {
-            return Ok(Book::default());
+            return Ok(ReplicatedState::default());
         }
         let fault = |e: postcard::Error| Error::Decode { what: "a book", reason: e.to_string() };
-        let (mut book, rest) = postcard::take_from_bytes::<Book>(bytes).map_err(fault)?;
+        let (mut replicated, rest) =
+            postcard::take_from_bytes::<ReplicatedState>(bytes).map_err(fault)?;
         if rest.is_empty() {
-            return Ok(book);
+            return Ok(replicated);
         }
         let (crashes, rest) = postcard::take_from_bytes(rest).map_err(fault)?;
-        book.crashes = crashes;
+        replicated.crashes = crashes;
         if rest.is_empty() {
-            return Ok(book);
+            return Ok(replicated);
         }
         let (ownership, rest) = postcard::take_from_bytes(rest).map_err(fault)?;
-        book.ownership = ownership;
+        replicated.ownership = ownership;
         if !rest.is_empty() {
-            book.doubts = postcard::from_bytes(rest).map_err(fault)?;
+            replicated.uncertain_losses = postcard::from_bytes(rest).map_err(fault)?;
         }
-        Ok(book)
+        Ok(replicated)
     }
 
     /// Writes the book for a snapshot.
@@ -81,9 +82,9 @@
         let bytes = postcard::to_allocvec(self).map_err(fault)?;
         let bytes = postcard::to_extend(&self.crashes, bytes).map_err(fault)?;
         let bytes = postcard::to_extend(&self.ownership, bytes).map_err(fault)?;
-        match self.doubts.is_empty() {
+        match self.uncertain_losses.is_empty() {
             true => Ok(bytes),
-            false => postcard::to_extend(&self.doubts, bytes).map_err(fault),
+            false => postcard::to_extend(&self.uncertain_losses, bytes).map_err(fault),
         }
     }
 
@@ -138,13 +139,13 @@
     }
 
     /// Gives the losses that were not counted against tasks, since chance may have hit them.
-    pub fn doubts(&self) -> &Doubts {
-        &self.doubts
+    pub fn uncertain_losses(&self) -> &UncertainLosses {
+        &self.uncertain_losses
     }
 
     /// Tells whether a task must wait until more is known of workers that it may have crashed.
     pub fn must_wait(&self, suspect: &TaskKey) -> bool {
-        self.crashes.must_wait_with(suspect, self.doubts.losses(suspect))
+        self.crashes.must_wait_with(suspect, self.uncertain_losses.losses(suspect))
     }
 
     /// Gives which organisations jobs belong to, and what these have running.
@@ -153,7 +154,7 @@
     }
 
     /// Gives the task by which the ledger of crashes holds a task: the first one of its gang, or itself.
-    pub fn suspect(&self, task: &TaskKey) -> TaskKey {
+    pub fn suspect_key(&self, task: &TaskKey) -> TaskKey {
         match self.step_spec(&task.step).is_some_and(|s| s.gang) {
             true => TaskKey { index: 0, ..*task },
             false => *task,
@@ -207,20 +208,20 @@
                 self.end_life(worker, saved);
             }
             Command::Lapsed { worker, saved } => self.release_all(worker, saved),
-            Command::WorkerCrashed { worker, saved, blame, at } => {
+            Command::WorkerCrashed { worker, saved, crash_suspects, at } => {
                 let lapsed = self.end_life(worker, saved);
                 self.count_crash(&lapsed, *at);
-                self.count_crash(&self.by_suspects(blame), *at);
+                self.count_crash(&self.by_suspects(crash_suspects), *at);
             }
             Command::WorkerLost { worker, at } => self.lose(worker, *at),
-            Command::Suspected { worker, blame } => {
-                self.crashes.lapse(worker, self.by_suspects(blame));
+            Command::CrashSuspected { worker, crash_suspects } => {
+                self.crashes.lapse(worker, self.by_suspects(crash_suspects));
             }
-            Command::LivedOn { worker } => {
+            Command::WorkerSurvived { worker } => {
                 self.crashes.settle(worker);
             }
             Command::Resized { worker, capacity } => self.resize(worker, *capacity),
-            Command::Cleared { tasks } => tasks.iter().for_each(|t| self.clear_suspect(t)),
+            Command::SuspectsCleared { tasks } => tasks.iter().for_each(|t| self.clear_suspect(t)),
             Command::Started { worker, runs } => {
                 runs.iter().for_each(|(task, run)| self.start(worker, task, *run));
             }
@@ -231,15 +232,17 @@
                 ends.iter().for_each(|end| self.end_run(worker, end, *at));
             }
             Command::Forget { before } => self.forget(*before),
-            Command::Owned { job, .. } if self.jobs.contains_key(job) => {}
-            Command::Owned { job, organisation } => self.ownership.assign(*job, organisation),
-            Command::Doubted { losses } => losses.iter().for_each(|l| self.doubts.add(l)),
+            Command::AssignOwner { job, .. } if self.jobs.contains_key(job) => {}
+            Command::AssignOwner { job, organisation } => self.ownership.assign(*job, organisation),
+            Command::LossesUncertain { losses } => {
+                losses.iter().for_each(|l| self.uncertain_losses.add(l))
+            }
         }
     }
 
     fn clear_suspect(&mut self, task: &TaskKey) {
         self.crashes.clear(task);
-        self.doubts.clear(task);
+        self.uncertain_losses.clear(task);
     }
 
     fn accept(&mut self, id: JobId, job: Job) {
@@ -253,7 +256,7 @@
         let keep = |j: &Job| j.ended_at.is_none_or(|t| t >= before) || j.placed() > 0;
         self.jobs.retain(|_, j| keep(j));
         self.crashes.retain(|id| self.jobs.contains_key(&id));
-        self.doubts.retain(|id| self.jobs.contains_key(&id));
+        self.uncertain_losses.retain(|id| self.jobs.contains_key(&id));
         self.ownership.retain(|id| self.jobs.contains_key(&id));
     }
 
@@ -265,7 +268,7 @@
 
     fn start(&mut self, worker: &WorkerId, key: &TaskKey, run: u32) {
         let Some(spec) = self.step_spec(&key.step) else { return };
-        let (room, size) = (spec.room(), spec.size);
+        let (room, size) = (spec.required_capacity(), spec.size);
         let Some(job) = self.jobs.get_mut(&key.step.job) else { return };
         let Some(step) = step_mut(job, &key.step) else { return };
         let Some(task) = step.tasks.get_mut(key.index as usize) else { return };
@@ -286,7 +289,7 @@
     /// Takes a run off its worker; tells whether it was there.
     fn release(&mut self, worker: &WorkerId, key: &TaskKey, run: u32) -> bool {
         let spec = self.step_spec(&key.step);
-        let room = spec.map_or(Size::ZERO, StepSpec::room);
+        let room = spec.map_or(Size::ZERO, StepSpec::required_capacity);
         let size = spec.map_or(Size::ZERO, |s| s.size);
         let Some(place) = self.workers.get_mut(worker) else { return false };
         if place.runs.get(key) != Some(&run) {
@@ -310,7 +313,7 @@
     }
 
     /// Ends the life of a worker with all that ran there, and gives its runs that had lapsed.
-    fn end_life(&mut self, worker: &WorkerId, saved: &[(TaskKey, Arc<str>)]) -> Blame {
+    fn end_life(&mut self, worker: &WorkerId, saved: &[(TaskKey, Arc<str>)]) -> CrashSuspects {
         self.release_all(worker, saved);
         self.workers.remove(worker);
         self.crashes.settle(worker)
@@ -319,7 +322,7 @@
     /// Ends the life of a worker that was not heard of for so long that it counts as lost.
     fn lose(&mut self, worker: &WorkerId, at: Millis) {
         let lapsed = self.end_life(worker, &[]);
-        match lapsed.alone {
+        match lapsed.silent_alone {
             true => self.count_crash(&lapsed, at),
             // It may be cut off yet, so no task is given up for it.
             false => lapsed.runs().for_each(|(task, run)| self.suspect_run(task, *run)),
@@ -339,26 +342,33 @@
     }
 
     /// Gives the same with each gang by its first task.
-    fn by_suspects(&self, blame: &Blame) -> Blame {
+    fn by_suspects(&self, crash_suspects: &CrashSuspects) -> CrashSuspects {
         let by_suspect = |runs: &[(TaskKey, u32)]| {
-            let runs: BTreeSet<_> = runs.iter().map(|(t, run)| (self.suspect(t), *run)).collect();
+            let runs: BTreeSet<_> =
+                runs.iter().map(|(t, run)| (self.suspect_key(t), *run)).collect();
             runs.into_iter().collect()
         };
-        let (under, beside) = (by_suspect(&blame.under), by_suspect(&blame.beside));
-        Blame { under, beside, young: blame.young, alone: blame.alone }
+        let (primary, secondary) =
+            (by_suspect(&crash_suspects.primary), by_suspect(&crash_suspects.secondary));
+        CrashSuspects {
+            primary,
+            secondary,
+            primary_young: crash_suspects.primary_young,
+            silent_alone: crash_suspects.silent_alone,
+        }
     }
 
     /// Counts a crash against the tasks that it may be the fault of.
-    fn count_crash(&mut self, blame: &Blame, at: Millis) {
-        let most = match blame.under.len() {
-            1 => MOST_CRASHES,
-            _ => MOST_CRASHES_IN_COMPANY,
+    fn count_crash(&mut self, crash_suspects: &CrashSuspects, at: Millis) {
+        let most = match crash_suspects.primary.len() {
+            1 => MAX_CRASHES,
+            _ => MAX_SHARED_CRASHES,
         };
-        for (task, run) in &blame.under {
-            self.crashed_under((task, *run), blame.young, most, at);
+        for (task, run) in &crash_suspects.primary {
+            self.crashed_under((task, *run), crash_suspects.primary_young, most, at);
         }
-        for (task, run) in &blame.beside {
-            self.crashed_under((task, *run), false, MOST_CRASHES_AT_ALL, at);
+        for (task, run) in &crash_suspects.secondary {
+            self.crashed_under((task, *run), false, MAX_TOTAL_CRASHES, at);
         }
     }
 
@@ -394,10 +404,10 @@
 
     fn end_run(&mut self, worker: &WorkerId, end: &End, at: Millis) {
         let Some(place) = self.workers.get_mut(worker) else { return };
-        if end.number <= place.seen {
+        if end.number <= place.last_end {
             return;
         }
-        place.seen = end.number;
+        place.last_end = end.number;
         let current = self.release(worker, &end.task, end.run);
         if current {
             self.save(&end.task, &end.checkpoint);
@@ -405,7 +415,7 @@
         match end.kind {
             EndKind::Done => {
                 self.task_done(&end.task, current);
-                self.clear_suspect(&self.suspect(&end.task));
+                self.clear_suspect(&self.suspect_key(&end.task));
             }
             EndKind::Failed => self.task_failed(&end.task, end.run, at),
             EndKind::Stopped | EndKind::Lapsed | EndKind::Broken | EndKind::Alone => {}
--- a/components/workload/src/spec.rs
+++ b/components/workload/src/spec.rs
@@ -60,12 +60,12 @@
     /// Whether the tasks take only the processor time that others leave.
     pub filler: bool,
     /// How many tasks may be away at once by our doing; `None` sets no limit.
-    pub may_miss: Option<u32>,
+    pub max_unavailable: Option<u32>,
 }
 
 impl StepSpec {
     /// Gives what a task takes out of a worker's room: a filler's processor time does not count.
-    pub fn room(&self) -> Size {
+    pub fn required_capacity(&self) -> Size {
         match self.filler {
             true => Size { cpu_milli: 0, ..self.size },
             false => self.size,
@@ -89,7 +89,7 @@
 
     /// Gives how long the longest chain of steps takes by the declared times, of those steps that
     /// count.
-    pub fn longest_chain(&self, counts: impl Fn(usize) -> bool) -> Millis {
+    pub fn critical_path(&self, counts: impl Fn(usize) -> bool) -> Millis {
         let mut ends: Vec<Millis> = Vec::with_capacity(self.steps.len());
         for (i, step) in self.steps.iter().enumerate() {
             let before = step.depends_on.iter().filter_map(|d| ends.get(*d as usize)).max();
--- a/components/workload/src/doubts.rs
+++ b/components/workload/src/uncertain_losses.rs
@@ -1,7 +1,7 @@
 //! Tasks that have lost workers among so many others that chance may have hit them.
 //!
 //! Such a loss is not counted against a task by itself: what speaks against it is added up, and a loss counts once that
-//! is as much as one that came alone. It is part of the [`crate::Book`], so that a change of leader loses none of it.
+//! is as much as one that came alone. It is part of the [`crate::ReplicatedState`], so that a change of leader loses none of it.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
 
 /// A run whose worker was lost among so many that chance may have hit it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DoubtfulLoss {
+pub struct UncertainLoss {
     /// The task; of a gang the first one.
     pub task: TaskKey,
     /// The run.
@@ -39,17 +39,17 @@
 
 /// The tasks in doubt; a gang is held by its first task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Doubts(BTreeMap<TaskKey, Doubt>);
+pub struct UncertainLosses(BTreeMap<TaskKey, Doubt>);
 
-impl Doubts {
+impl UncertainLosses {
     /// Tells whether a loss counts against its task with what spoke against that before.
-    pub fn counts(&self, loss: &DoubtfulLoss) -> bool {
+    pub fn counts(&self, loss: &UncertainLoss) -> bool {
         let doubt = self.0.get(&loss.task).copied().unwrap_or_default();
         loss.run > doubt.last_run && doubt.weight + loss.weight >= COUNTED_WEIGHT
     }
 
     /// Takes in a loss, whether or not it counts.
-    pub(crate) fn add(&mut self, loss: &DoubtfulLoss) {
+    pub(crate) fn add(&mut self, loss: &UncertainLoss) {
         let counts = self.counts(loss);
         let doubt = self.0.entry(loss.task).or_default();
         if loss.run <= doubt.last_run {
--- a/components/workload/src/worker.rs
+++ b/components/workload/src/worker.rs
@@ -32,7 +32,7 @@
     /// As it announced itself.
     pub info: WorkerInfo,
     /// The number of the last end that was taken note of.
-    pub seen: u64,
+    pub last_end: u64,
     /// What its runs take.
     pub used: Size,
     /// The runs that were started there and whose end is not known, with their numbers.
@@ -47,11 +47,11 @@
 
     /// Makes a worker that runs nothing.
     pub fn new(info: WorkerInfo) -> Worker {
-        Worker { info, seen: 0, used: Size::ZERO, runs: BTreeMap::new() }
+        Worker { info, last_end: 0, used: Size::ZERO, runs: BTreeMap::new() }
     }
 
     /// Tells whether its runs take more than it has, as after it has shrunk.
-    pub fn is_over_room(&self) -> bool {
+    pub fn is_overcommitted(&self) -> bool {
         !self.used.fits(&self.info.capacity)
     }
 
--- a/components/workload/tests/organisations.rs
+++ b/components/workload/tests/organisations.rs
@@ -7,8 +7,8 @@
 use model::Size;
 use rstest::rstest;
 use workload::{
-    Book, Command, Credential, End, EndKind, JobId, KeyDigest, Organisation, Organisations,
-    WorkerId,
+    Command, Credential, End, EndKind, JobId, KeyDigest, Organisation, Organisations,
+    ReplicatedState, WorkerId,
 };
 
 fn organisation(name: &str, limit: Size) -> Organisation {
@@ -16,7 +16,7 @@
 }
 
 fn owned(job: u64, name: &str) -> Command {
-    Command::Owned { job: JobId(job), organisation: name.into() }
+    Command::AssignOwner { job: JobId(job), organisation: name.into() }
 }
 
 fn started(run: u32) -> Command {
@@ -24,11 +24,11 @@
 }
 
 /// A book in which the first task of a job of organisation `a` runs.
-fn running() -> Book {
-    let mut book = Book::default();
+fn running() -> ReplicatedState {
+    let mut replicated = ReplicatedState::default();
     let commands = [join("w"), owned(1, "a"), submit(1, vec![step(2)]), started(1)];
-    commands.iter().for_each(|c| book.apply(c));
-    book
+    commands.iter().for_each(|c| replicated.apply(c));
+    replicated
 }
 
 #[rstest]
@@ -72,45 +72,45 @@
 #[case::lapsed(Command::Lapsed { worker: WorkerId::from("w"), saved: vec![] })]
 #[case::worker_gone(Command::WorkerGone { worker: WorkerId::from("w"), saved: vec![] })]
 fn a_run_counts_from_its_start_until_it_is_surely_over(#[case] over: Command) {
-    let mut book = running();
-    assert_eq!(book.ownership().used("a"), Size::new(1_000, 100, 0));
-    book.apply(&over);
-    assert_eq!(book.ownership().used("a"), Size::ZERO);
+    let mut replicated = running();
+    assert_eq!(replicated.ownership().used("a"), Size::new(1_000, 100, 0));
+    replicated.apply(&over);
+    assert_eq!(replicated.ownership().used("a"), Size::ZERO);
 }
 
 #[test]
 fn a_cancelled_job_counts_while_its_runs_may_be_alive() {
-    let mut book = running();
-    book.apply(&Command::Cancel { id: JobId(1), at: Millis(20) });
-    book.apply(&Command::Forget { before: Millis(1_000_000) });
-    assert_eq!(book.ownership().used("a"), Size::new(1_000, 100, 0));
+    let mut replicated = running();
+    replicated.apply(&Command::Cancel { id: JobId(1), at: Millis(20) });
+    replicated.apply(&Command::Forget { before: Millis(1_000_000) });
+    assert_eq!(replicated.ownership().used("a"), Size::new(1_000, 100, 0));
 }
 
 #[test]
 fn the_owner_of_a_job_that_is_known_never_changes() {
-    let mut book = running();
-    book.apply(&owned(1, "b"));
-    assert_eq!(book.ownership().owner(JobId(1)).map(|o| &**o), Some("a"));
+    let mut replicated = running();
+    replicated.apply(&owned(1, "b"));
+    assert_eq!(replicated.ownership().owner(JobId(1)).map(|o| &**o), Some("a"));
 }
 
 #[test]
 fn the_owner_of_a_job_that_never_came_is_forgotten() {
-    let mut book = running();
-    book.apply(&owned(7, "b"));
-    book.apply(&Command::Forget { before: Millis(0) });
-    assert_eq!(book.ownership().owner(JobId(7)), None);
-    assert_eq!(book.ownership().owner(JobId(1)).map(|o| &**o), Some("a"));
+    let mut replicated = running();
+    replicated.apply(&owned(7, "b"));
+    replicated.apply(&Command::Forget { before: Millis(0) });
+    assert_eq!(replicated.ownership().owner(JobId(7)), None);
+    assert_eq!(replicated.ownership().owner(JobId(1)).map(|o| &**o), Some("a"));
 }
 
 #[test]
 fn a_snapshot_keeps_owners_and_one_from_before_has_none() {
-    let book = running();
-    let bytes = book.encode().unwrap();
-    assert_eq!(Book::decode(&bytes).unwrap(), book);
+    let replicated = running();
+    let bytes = replicated.encode().unwrap();
+    assert_eq!(ReplicatedState::decode(&bytes).unwrap(), replicated);
     // An earlier version wrote the same without its last part.
-    let ownership = postcard::to_allocvec(book.ownership()).unwrap();
+    let ownership = postcard::to_allocvec(replicated.ownership()).unwrap();
     let before = &bytes[..bytes.len() - ownership.len()];
-    let read = Book::decode(before).unwrap();
-    assert_eq!(read.jobs(), book.jobs());
+    let read = ReplicatedState::decode(before).unwrap();
+    assert_eq!(read.jobs(), replicated.jobs());
     assert_eq!(read.ownership().owner(JobId(1)), None);
 }
--- a/components/workload/tests/book.rs
+++ b/components/workload/tests/replicated_state.rs
@@ -8,7 +8,8 @@
 use common::{join, step, submit, task};
 use rstest::rstest;
 use workload::{
-    Book, Command, Document, End, EndKind, JobId, JobSpec, JobState, StepSpec, TaskKey, WorkerId,
+    Command, Document, End, EndKind, JobId, JobSpec, JobState, ReplicatedState, StepSpec, TaskKey,
+    WorkerId,
 };
 
 fn started(name: &str, index: u32, run: u32) -> Command {
@@ -20,18 +21,18 @@
     Command::Ended { worker: WorkerId::from(name), ends: vec![end], at: Millis(20) }
 }
 
-fn book(commands: &[Command]) -> Book {
-    let mut book = Book::default();
-    commands.iter().for_each(|c| book.apply(c));
-    book
+fn replicated(commands: &[Command]) -> ReplicatedState {
+    let mut replicated = ReplicatedState::default();
+    commands.iter().for_each(|c| replicated.apply(c));
+    replicated
 }
 
-fn used(book: &Book, name: &str) -> u64 {
-    book.worker(&WorkerId::from(name)).map_or(0, |w| w.used.cpu_milli)
+fn used(replicated: &ReplicatedState, name: &str) -> u64 {
+    replicated.worker(&WorkerId::from(name)).map_or(0, |w| w.used.cpu_milli)
 }
 
-fn state(book: &Book) -> Option<JobState> {
-    book.job(JobId(1)).map(|j| j.state)
+fn state(replicated: &ReplicatedState) -> Option<JobState> {
+    replicated.job(JobId(1)).map(|j| j.state)
 }
 
 #[rstest]
@@ -44,8 +45,12 @@
     #[case] state_: Option<JobState>,
     #[case] open: usize,
 ) {
-    let b =
-        book(&[submit(1, vec![step(1)]), join("w"), started("w", 0, 1), ended("w", 1, 0, 1, kind)]);
+    let b = replicated(&[
+        submit(1, vec![step(1)]),
+        join("w"),
+        started("w", 0, 1),
+        ended("w", 1, 0, 1, kind),
+    ]);
     assert_eq!(used(&b, "w"), 0);
     assert_eq!(state(&b), state_);
     assert_eq!(b.open().len(), open);
@@ -54,8 +59,13 @@
 #[test]
 fn an_end_counts_once_however_often_it_is_listed() {
     let failed = ended("w", 1, 0, 1, EndKind::Failed);
-    let b =
-        book(&[submit(1, vec![step(1)]), join("w"), started("w", 0, 1), failed.clone(), failed]);
+    let b = replicated(&[
+        submit(1, vec![step(1)]),
+        join("w"),
+        started("w", 0, 1),
+        failed.clone(),
+        failed,
+    ]);
     assert_eq!(b.task(&task(0)).map(|t| t.failed), Some(1));
     assert_eq!(state(&b), Some(JobState::Running));
 }
@@ -63,7 +73,7 @@
 #[test]
 fn a_failed_run_counts_also_if_it_was_believed_lost() {
     let worker = WorkerId::from("w");
-    let b = book(&[
+    let b = replicated(&[
         submit(1, vec![step(1)]),
         join("w"),
         join("v"),
@@ -80,7 +90,7 @@
 fn a_lapsed_worker_frees_its_room_and_keeps_the_progress() {
     let worker = WorkerId::from("w");
     let saved = vec![(task(0), Arc::from("progress"))];
-    let b = book(&[
+    let b = replicated(&[
         submit(1, vec![step(2)]),
         join("w"),
         started("w", 0, 1),
@@ -94,7 +104,7 @@
 
 #[test]
 fn a_cancelled_job_keeps_its_room_until_its_runs_have_ended_and_then_can_be_forgotten() {
-    let mut b = book(&[
+    let mut b = replicated(&[
         submit(1, vec![step(1)]),
         join("w"),
         started("w", 0, 1),
@@ -112,7 +122,7 @@
 fn one_member_done_stands_for_the_whole_gang() {
     let gang = StepSpec { gang: true, ..step(3) };
     let runs = (0..3).map(|i| (task(i), 1)).collect();
-    let b = book(&[
+    let b = replicated(&[
         submit(1, vec![gang]),
         join("w"),
         Command::Started { worker: WorkerId::from("w"), runs },
@@ -126,7 +136,7 @@
 fn a_gangs_failed_run_counts_once_for_all_members() {
     let gang = StepSpec { gang: true, ..step(2) };
     let runs = (0..2).map(|i| (task(i), 1)).collect();
-    let b = book(&[
+    let b = replicated(&[
         submit(1, vec![gang]),
         join("w"),
         Command::Started { worker: WorkerId::from("w"), runs },
@@ -140,15 +150,15 @@
 #[test]
 fn only_a_higher_version_changes_the_configuration() {
     let publish = |version, text: &str| Command::Configure(Document { version, text: text.into() });
-    let b = book(&[publish(4, "four"), publish(4, "other"), publish(2, "two")]);
+    let b = replicated(&[publish(4, "four"), publish(4, "other"), publish(2, "two")]);
     assert_eq!(b.document(), &Document { version: 4, text: "four".into() });
 }
 
 #[test]
 fn a_book_reads_back_from_a_snapshot() {
-    let b = book(&[submit(1, vec![step(2)]), join("w"), started("w", 0, 1)]);
-    assert_eq!(Book::decode(&b.encode().unwrap()).unwrap(), b);
-    assert!(Book::decode(&[7; 9]).is_err());
+    let b = replicated(&[submit(1, vec![step(2)]), join("w"), started("w", 0, 1)]);
+    assert_eq!(ReplicatedState::decode(&b.encode().unwrap()).unwrap(), b);
+    assert!(ReplicatedState::decode(&[7; 9]).is_err());
 }
 
 #[rstest]
--- a/tests/platform/soak.rs
+++ b/tests/platform/soak.rs
@@ -33,7 +33,7 @@
 const FAULTY_EVERY: u64 = 40;
 /// How many workers may crash under a task before nothing of its job is started any more, and how many starts may
 /// follow where a crash is known late, as behind a cut.
-const MOST_CRASHES: usize = 3;
+const MAX_CRASHES: usize = 3;
 const MOST_LATE_STARTS: usize = 2;
 /// Seeds that once failed. 1 and 37: a control process panicked in the timer of a library, whose
 /// arithmetic overflows for a timer of no length; our loops no longer use it. 5 and 39: the check took
@@ -262,9 +262,9 @@
         assert!(failed || !job.faulty, "{} is at fault and not failed; {history}", job.id);
         let lines = || cell.lines_about(&job.id);
         // A start on its way as its worker's life ends counts as begun: nobody knows whether it was.
-        let is_due = || most_with_lost_starts(&crashes, &lines()) >= MOST_CRASHES;
+        let is_due = || most_with_lost_starts(&crashes, &lines()) >= MAX_CRASHES;
         assert!(!failed || is_due(), "{}; {history}\n{}", job.id, lines());
-        assert!(most <= MOST_CRASHES + MOST_LATE_STARTS, "{}; {history}\n{}", job.id, lines());
+        assert!(most <= MAX_CRASHES + MOST_LATE_STARTS, "{}; {history}\n{}", job.id, lines());
         if failed && !job.faulty {
             println!("given up beside jobs at fault: {}, {most} crashes", job.id);
         }
