--- a/components/bench/src/dispatching.rs
+++ b/components/bench/src/dispatching.rs
@@ -5,7 +5,9 @@
 use std::time::Instant;
 
 use clock::Millis;
-use dispatch::{Action, Call, Dispatcher, Input, Limits, Moment, Report, Setup, Verb, WorkerNews};
+use dispatch::{
+    Action, Call, Dispatcher, Input, Limits, Moment, Report, Setup, Verb, WorkerAnnouncement,
+};
 use model::Size;
 use workload::{
     AdvicePolicy, Document, End, EndKind, JobId, JobSpec, Policy, PolicyReader, Queue,
@@ -79,7 +81,7 @@
         let (running, ends) = Default::default();
         let mut d = Driven { dispatcher, now, jobs: 0, running, ends };
         let helpers = (0..HELPERS).map(|n| format!("h{n}").as_str().into()).collect();
-        d.feed(Input::Helpers(helpers));
+        d.feed(Input::AdviceCallers(helpers));
         for n in 0..workers {
             d.join(n);
         }
@@ -122,7 +124,7 @@
                         let result = Ok(self.now);
                         self.dispatcher.handle(m, Input::Started { worker, task, run, result });
                     }
-                    Action::Ask(ask) => {
+                    Action::RequestAdvice(ask) => {
                         let ticket = |w: WorkerId| (w, "ticket".into());
                         let allowed = Some(ask.workers.into_iter().map(ticket).collect());
                         let valid = Some(Millis(2_500));
@@ -145,13 +147,18 @@
             capacity: Size::new(16_000, 32_000, 0),
             labels: vec!["a".into(), format!("r{}", n / 8).as_str().into()],
         };
-        self.feed(Input::News(WorkerNews { info, leaving: false, remaining: None, number: 1 }));
+        self.feed(Input::Announcement(WorkerAnnouncement {
+            info,
+            leaving: false,
+            remaining: None,
+            number: 1,
+        }));
         self.report(id, Vec::new());
     }
 
     fn report(&mut self, worker: WorkerId, ends: Vec<End>) {
         let runs = self.running.iter().filter(|(w, ..)| *w == worker);
-        let row = |(_, task, run): &(WorkerId, TaskKey, u32)| dispatch::RunRow {
+        let row = |(_, task, run): &(WorkerId, TaskKey, u32)| dispatch::RunStatus {
             task: *task,
             run: *run,
             checkpoint: Arc::from(""),
--- a/components/dispatch/src/action.rs
+++ b/components/dispatch/src/action.rs
@@ -4,10 +4,10 @@
 use model::Name;
 use workload::WorkerId;
 
-use crate::advice::AdviceAsk;
+use crate::advice::AdviceRequest;
 use crate::call::Answer;
 use crate::input::Token;
-use crate::order::{RenewOrder, StartOrder, StopOrder};
+use crate::worker_messages::{RenewOrder, StartOrder, StopOrder};
 
 /// What the dispatcher wants done.
 #[derive(Clone, Debug, PartialEq)]
@@ -47,14 +47,14 @@
         order: StopOrder,
     },
     /// Call for advice.
-    Ask(AdviceAsk),
+    RequestAdvice(AdviceRequest),
     /// Count a crash of a worker.
     CountCrash {
         /// The service that the worker belongs to.
         service: Name,
     },
     /// Tell of a decision.
-    Note {
+    LogEvent {
         /// What kind of decision it is.
         kind: &'static Kind,
         /// What it is about: a job, a task or a worker.
--- a/components/dispatch/src/advice.rs
+++ b/components/dispatch/src/advice.rs
@@ -8,12 +8,13 @@
 use model::{InstanceId, Name};
 use workload::{AdvicePolicy, OpenStep, StepKey, WorkerId};
 
+use crate::advice_reserve::AdviceReserve;
 use crate::limits::{
-    ADVICE_LATE, ADVICE_LEAST_WORKERS, ADVICE_MOST_FULL, ADVICE_MOST_WORKERS, ADVICE_NAMED_PART,
-    ADVICE_PAUSE, ADVICE_ROOM_FACTOR, ADVICE_SHORT_MS, ADVICE_SHORT_WORKERS, ADVICE_SLACK,
-    AGED_PART, HELPER_REST, LOOK_FOR_ROOM_AGAIN, NO_PROSPECTS_PAUSE, TICKET_MARGIN,
+    ADVICE_CALLER_BACKOFF, ADVICE_CAPACITY_FACTOR, ADVICE_MAX_FULL_WORKERS, ADVICE_MAX_WORKERS,
+    ADVICE_MIN_WORKERS, ADVICE_NAMED_FRACTION, ADVICE_OVERDUE_FACTOR, ADVICE_OVERDUE_MARGIN,
+    AGED_CALLERS_DIVISOR, MAX_SHORT_ADVICE_MS, MIN_ADVICE_INTERVAL, MIN_REEXAMINE_INTERVAL,
+    MIN_TICKET_VALIDITY, NO_CANDIDATES_PAUSE, SHORT_ADVICE_WORKERS,
 };
-use crate::reserve::Reserve;
 
 /// Returns how long a call that names so many workers takes, in milliseconds.
 pub(crate) fn cost_ms(policy: &AdvicePolicy, workers: usize) -> f64 {
@@ -25,24 +26,24 @@
 /// since each call that names too few is followed by another.
 fn least_named(policy: &AdvicePolicy, lacked_callers: bool) -> usize {
     if is_short(policy) || !lacked_callers {
-        return ADVICE_LEAST_WORKERS;
+        return ADVICE_MIN_WORKERS;
     }
-    let workers = policy.base_ms * ADVICE_NAMED_PART / policy.per_worker_ms;
-    (workers as usize).clamp(ADVICE_LEAST_WORKERS, ADVICE_MOST_WORKERS)
+    let workers = policy.base_ms * ADVICE_NAMED_FRACTION / policy.per_worker_ms;
+    (workers as usize).clamp(ADVICE_MIN_WORKERS, ADVICE_MAX_WORKERS)
 }
 
 /// Returns whether calls under a policy are short, so that no instances are reserved against them.
 fn is_short(policy: &AdvicePolicy) -> bool {
-    cost_ms(policy, ADVICE_LEAST_WORKERS) <= ADVICE_SHORT_MS
+    cost_ms(policy, ADVICE_MIN_WORKERS) <= MAX_SHORT_ADVICE_MS
 }
 
 /// A call for advice that an instance is to make.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AdviceAsk {
+pub struct AdviceRequest {
     /// The number that identifies the answer.
     pub id: u64,
     /// The instance that makes the call.
-    pub helper: InstanceId,
+    pub caller: InstanceId,
     /// The step that advice is requested on.
     pub step: StepKey,
     /// The workers that the call asks about.
@@ -61,11 +62,11 @@
 struct StepAdvice {
     tickets: BTreeMap<WorkerId, Ticket>,
     allowed: BTreeSet<WorkerId>,
-    barred: BTreeSet<WorkerId>,
+    disallowed: BTreeSet<WorkerId>,
     asked: Option<u64>,
     next_at: Millis,
     /// Since when the step has needed a call and no instance was free to make it.
-    lacks_since: Option<Millis>,
+    lacks_caller_since: Option<Millis>,
     /// Set if the last examination found no worker with free capacity.
     waiting: Option<WaitForRoom>,
 }
@@ -84,8 +85,8 @@
         let due = self.tickets.values().map(|t| t.until.since(renewal));
         // A ticket that was not renewed in time belongs to a worker that is not usable.
         let first_due = due.filter(|t| *t > now).min();
-        let pause = now + NO_PROSPECTS_PAUSE;
-        first_due.unwrap_or(pause).min(pause).max(now + ADVICE_PAUSE)
+        let pause = now + NO_CANDIDATES_PAUSE;
+        first_due.unwrap_or(pause).min(pause).max(now + MIN_ADVICE_INTERVAL)
     }
 }
 
@@ -94,13 +95,13 @@
 struct Asked {
     step: StepKey,
     queue: Name,
-    helper: InstanceId,
+    caller: InstanceId,
     workers: Vec<WorkerId>,
     /// When another instance is asked.
     give_up_at: Millis,
     /// Whether another instance may have been asked. A late answer still counts.
     overdue: bool,
-    urge: Urge,
+    advice_priority: AdvicePriority,
 }
 
 /// How often workers were allowed, of those asked about.
@@ -111,14 +112,14 @@
 }
 
 /// A worker that could take tasks of a step now.
-pub(crate) struct Prospect {
+pub(crate) struct AdviceCandidate {
     pub(crate) worker: WorkerId,
     /// How many tasks of the step it has capacity for.
     pub(crate) fits: u64,
 }
 
 /// What a call is needed for.
-pub(crate) struct Want<'a> {
+pub(crate) struct AdviceNeed<'a> {
     pub(crate) step: StepKey,
     pub(crate) queue: &'a Name,
     pub(crate) policy: AdvicePolicy,
@@ -126,41 +127,41 @@
     pub(crate) tasks: u64,
     /// Whether the tasks start all together or not at all.
     pub(crate) gang: bool,
-    pub(crate) urge: Urge,
+    pub(crate) advice_priority: AdvicePriority,
 }
 
 /// How many of the instances reserved for short calls a long call may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Urge {
+pub(crate) enum AdvicePriority {
     /// None.
-    Usual,
+    Normal,
     /// None, but before usual calls and for a limited part of all instances: the step has long
     /// lacked a call.
     Aged,
     /// Half of them: a long-running task is overdue.
-    Owed,
+    Overdue,
 }
 
 /// The workers that a call is to name; empty if none is worth a call.
-pub(crate) struct Choice {
+pub(crate) struct AdviceSelection {
     workers: Vec<WorkerId>,
     /// Whether tasks could start on them as soon as they are allowed to.
-    pub(crate) has_room: bool,
+    pub(crate) has_capacity: bool,
 }
 
 /// All known advice, and the calls in flight.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Desk {
+pub(crate) struct AdviceScheduler {
     steps: BTreeMap<StepKey, StepAdvice>,
     calls: BTreeMap<u64, Asked>,
-    helpers: BTreeSet<InstanceId>,
+    callers: BTreeSet<InstanceId>,
     busy: BTreeSet<InstanceId>,
     /// How many instances are free to make calls in the current plan. Counting them for each of
     /// hundreds of steps would take as long as the rest of a plan.
     free: usize,
     /// How many instances are reserved for short calls.
-    kept_free: usize,
-    reserve: Reserve,
+    reserved_callers: usize,
+    reserve: AdviceReserve,
     /// Whether steps needed calls in the last plan that no instance was free to make.
     lacked_callers: bool,
     /// The instances in backoff because their last call got no answer, with its end.
@@ -177,58 +178,60 @@
 /// calls.
 const CALLS_A_TERM: u64 = 1 << 32;
 
-impl Desk {
+impl AdviceScheduler {
     /// Creates a scheduler without advice. The call numbers of each term are distinct, since an
     /// instance that leads again may still get answers to calls of an earlier term.
-    pub(crate) fn of_term(term: u64) -> Desk {
-        Desk { next_id: term.wrapping_mul(CALLS_A_TERM), ..Desk::default() }
+    pub(crate) fn for_term(term: u64) -> AdviceScheduler {
+        AdviceScheduler { next_id: term.wrapping_mul(CALLS_A_TERM), ..AdviceScheduler::default() }
     }
 
     /// Sets the instances that can make calls.
-    pub(crate) fn set_helpers(&mut self, helpers: BTreeSet<InstanceId>) {
-        self.helpers = helpers;
+    pub(crate) fn set_callers(&mut self, callers: BTreeSet<InstanceId>) {
+        self.callers = callers;
     }
 
     /// Returns the instances that are free to make a call.
     fn free_helpers(&self, now: Millis) -> impl Iterator<Item = &InstanceId> {
-        let rests = move |h: &InstanceId| self.resting.get(h).is_some_and(|until| now < *until);
-        self.helpers.iter().filter(move |h| !self.busy.contains(*h) && !rests(h))
+        let is_in_backoff =
+            move |h: &InstanceId| self.resting.get(h).is_some_and(|until| now < *until);
+        self.callers.iter().filter(move |h| !self.busy.contains(*h) && !is_in_backoff(h))
     }
 
     /// Returns how many instances must be free for a call to be made. The service processes the
     /// calls of an instance one after the other, so some instances are reserved for short calls.
-    fn fewest_free(&self, policy: &AdvicePolicy, urge: Urge) -> usize {
-        match urge {
+    fn fewest_free(&self, policy: &AdvicePolicy, advice_priority: AdvicePriority) -> usize {
+        match advice_priority {
             _ if is_short(policy) => 1,
-            Urge::Usual | Urge::Aged => self.kept_free + 1,
-            Urge::Owed => self.kept_free / 2 + 1,
+            AdvicePriority::Normal | AdvicePriority::Aged => self.reserved_callers + 1,
+            AdvicePriority::Overdue => self.reserved_callers / 2 + 1,
         }
     }
 
     /// Returns whether an instance is free to make a call in the current plan.
-    fn has_caller(&self, policy: &AdvicePolicy, urge: Urge) -> bool {
-        let may_call = urge != Urge::Aged || self.aged_calls() * AGED_PART < self.helpers.len();
-        may_call && self.free >= self.fewest_free(policy, urge)
+    fn has_caller(&self, policy: &AdvicePolicy, advice_priority: AdvicePriority) -> bool {
+        let may_call = advice_priority != AdvicePriority::Aged
+            || self.aged_calls() * AGED_CALLERS_DIVISOR < self.callers.len();
+        may_call && self.free >= self.fewest_free(policy, advice_priority)
     }
 
     /// Returns how many calls are in flight for steps that had long lacked one.
     fn aged_calls(&self) -> usize {
-        self.calls.values().filter(|c| c.urge == Urge::Aged).count()
+        self.calls.values().filter(|c| c.advice_priority == AdvicePriority::Aged).count()
     }
 
     /// Returns since when a step has needed a call that no instance was free to make.
-    pub(crate) fn lacks_since(&self, step: &StepKey) -> Option<Millis> {
-        self.steps.get(step)?.lacks_since
+    pub(crate) fn lacks_caller_since(&self, step: &StepKey) -> Option<Millis> {
+        self.steps.get(step)?.lacks_caller_since
     }
 
     /// Records that a step needs a call and that no instance is free to make it.
-    pub(crate) fn note_lack(&mut self, now: Millis, step: &StepKey) {
-        self.steps.entry(*step).or_default().lacks_since.get_or_insert(now);
+    pub(crate) fn record_missing_caller(&mut self, now: Millis, step: &StepKey) {
+        self.steps.entry(*step).or_default().lacks_caller_since.get_or_insert(now);
     }
 
     /// Returns how many instances can make calls.
     pub(crate) fn callers(&self) -> usize {
-        self.helpers.len()
+        self.callers.len()
     }
 
     /// Returns how many instances wait for the answer to a call.
@@ -243,12 +246,12 @@
         now: Millis,
     ) -> impl Iterator<Item = (&WorkerId, &Name)> {
         let known = self.steps.get(step).into_iter().flat_map(|s| &s.tickets);
-        known.filter(move |(_, t)| t.until > now + TICKET_MARGIN).map(|(w, t)| (w, &t.text))
+        known.filter(move |(_, t)| t.until > now + MIN_TICKET_VALIDITY).map(|(w, t)| (w, &t.text))
     }
 
     /// Returns the workers that are known not to be allowed.
-    pub(crate) fn barred(&self, step: &StepKey) -> Option<&BTreeSet<WorkerId>> {
-        self.steps.get(step).map(|s| &s.barred)
+    pub(crate) fn disallowed(&self, step: &StepKey) -> Option<&BTreeSet<WorkerId>> {
+        self.steps.get(step).map(|s| &s.disallowed)
     }
 
     /// Returns whether a worker is known to be allowed, with or without a ticket.
@@ -269,7 +272,7 @@
     }
 
     /// Records that advice on a step will be needed.
-    pub(crate) fn plan_ahead(&mut self, at: Millis, entry: OpenStep) {
+    pub(crate) fn schedule_ahead(&mut self, at: Millis, entry: OpenStep) {
         if !self.steps.contains_key(&entry.key) {
             self.ahead.entry(entry.key).or_insert((at, entry));
         }
@@ -296,14 +299,14 @@
 
     /// Returns whether a call on a step could be made now. It is checked before workers are
     /// scanned.
-    pub(crate) fn may_ask(
+    pub(crate) fn may_request(
         &self,
         step: &StepKey,
         policy: &AdvicePolicy,
-        urge: Urge,
+        advice_priority: AdvicePriority,
         now: Millis,
     ) -> bool {
-        self.is_due(step, now) && self.has_caller(policy, urge)
+        self.is_due(step, now) && self.has_caller(policy, advice_priority)
     }
 
     /// Returns whether a call on a step is due and no instance is free to make it.
@@ -311,10 +314,10 @@
         &self,
         step: &StepKey,
         policy: &AdvicePolicy,
-        urge: Urge,
+        advice_priority: AdvicePriority,
         now: Millis,
     ) -> bool {
-        self.is_due(step, now) && !self.has_caller(policy, urge)
+        self.is_due(step, now) && !self.has_caller(policy, advice_priority)
     }
 
     fn is_due(&self, step: &StepKey, now: Millis) -> bool {
@@ -323,7 +326,7 @@
     }
 
     /// Returns whether a step waits for capacity, so that a call on it would let no task start.
-    pub(crate) fn waits_for_room(&self, step: &StepKey) -> bool {
+    pub(crate) fn waits_for_capacity(&self, step: &StepKey) -> bool {
         let waits = self.steps.get(step).is_some_and(|s| s.waiting.is_some());
         waits && !self.again.contains(step)
     }
@@ -331,25 +334,25 @@
     /// Marks up to `most` of these steps for re-examination in the plan that begins: those waiting
     /// for capacity whose last examination is the oldest, if a call on them could be made. Capacity
     /// may have been freed where they hold no ticket.
-    pub(crate) fn look_again<'a>(
+    pub(crate) fn reexamine<'a>(
         &mut self,
         now: Millis,
-        urge: Urge,
+        advice_priority: AdvicePriority,
         steps: impl Iterator<Item = &'a StepKey>,
         most: usize,
     ) {
         let looked_at = |key: &StepKey| {
             let waiting = self.steps.get(key)?.waiting?;
-            let rested = now >= waiting.looked_at + LOOK_FOR_ROOM_AGAIN;
+            let rested = now >= waiting.looked_at + MIN_REEXAMINE_INTERVAL;
             rested.then_some((waiting.looked_at, waiting.policy))
         };
         let mut waiting: Vec<(Millis, StepKey, AdvicePolicy)> =
             steps.filter_map(|key| looked_at(key).map(|(at, policy)| (at, *key, policy))).collect();
         waiting.sort_unstable_by_key(|(at, key, _)| (*at, *key));
-        let may_ask = |(_, key, policy): &(Millis, StepKey, AdvicePolicy)| {
-            self.may_ask(key, policy, urge, now)
+        let may_request = |(_, key, policy): &(Millis, StepKey, AdvicePolicy)| {
+            self.may_request(key, policy, advice_priority, now)
         };
-        let again = waiting.into_iter().filter(may_ask).take(most).map(|(_, key, _)| key);
+        let again = waiting.into_iter().filter(may_request).take(most).map(|(_, key, _)| key);
         let again: Vec<StepKey> = again.collect();
         self.again.extend(again);
     }
@@ -360,59 +363,67 @@
         self.again.clear();
         self.lacked_callers = lacked_callers;
         self.free = self.free_helpers(now).count();
-        self.kept_free = self.reserve.kept(now, self.helpers.len());
+        self.reserved_callers = self.reserve.reserved_instances(now, self.callers.len());
     }
 
     /// Records that no tasks of a step are waiting any more.
-    pub(crate) fn all_placed(&mut self, step: &StepKey) {
+    pub(crate) fn record_all_placed(&mut self, step: &StepKey) {
         if let Some(known) = self.steps.get_mut(step) {
             known.waiting = None;
-            known.lacks_since = None;
+            known.lacks_caller_since = None;
         }
     }
 
     /// Records whether a waiting task of a step could start somewhere if it was allowed to.
-    pub(crate) fn note_room(&mut self, now: Millis, want: &Want<'_>, has_room: bool) {
+    pub(crate) fn record_capacity(
+        &mut self,
+        now: Millis,
+        want: &AdviceNeed<'_>,
+        has_capacity: bool,
+    ) {
         let waits = WaitForRoom { looked_at: now, policy: want.policy };
-        self.steps.entry(want.step).or_default().waiting = (!has_room).then_some(waits);
+        self.steps.entry(want.step).or_default().waiting = (!has_capacity).then_some(waits);
     }
 
     /// Chooses the workers that a call on a step is to name, if one is worth it.
     pub(crate) fn choose(
         &mut self,
         now: Millis,
-        want: &Want<'_>,
-        prospects: Vec<Prospect>,
-    ) -> Choice {
+        want: &AdviceNeed<'_>,
+        prospects: Vec<AdviceCandidate>,
+    ) -> AdviceSelection {
         let known = self.steps.entry(want.step).or_default();
-        let fits = |p: &Prospect| p.fits.min(want.tasks);
+        let fits = |p: &AdviceCandidate| p.fits.min(want.tasks);
         let room: u64 = prospects.iter().map(fits).sum();
         // Tickets are renewed before they expire, so that freed capacity is used immediately.
-        let renewal = Millis(cost_ms(&want.policy, known.allowed.len()) as u64) + TICKET_MARGIN;
+        let renewal =
+            Millis(cost_ms(&want.policy, known.allowed.len()) as u64) + MIN_TICKET_VALIDITY;
         let fresh = |w: &WorkerId| known.tickets.get(w).is_some_and(|t| t.until > now + renewal);
-        let open: Vec<Prospect> = prospects
+        let open: Vec<AdviceCandidate> = prospects
             .into_iter()
-            .filter(|p| !known.barred.contains(&p.worker) && !fresh(&p.worker))
+            .filter(|p| !known.disallowed.contains(&p.worker) && !fresh(&p.worker))
             .collect();
         let rate = self.rates.get(want.queue).map_or(0.5, |r| (r.allowed / r.asked).max(0.1));
         let room_to_ask_about = open.iter().any(|p| p.fits > 0);
-        let has_room = room_to_ask_about && (!want.gang || room >= want.tasks);
+        let has_capacity = room_to_ask_about && (!want.gang || room >= want.tasks);
         let workers = choose(want, open, (&known.allowed, rate), self.lacked_callers);
         if workers.is_empty() {
             known.next_at = known.next_look(now, renewal);
         }
-        Choice { workers, has_room }
+        AdviceSelection { workers, has_capacity }
     }
 
     /// Starts a call if one is due and an instance is free to make it.
     pub(crate) fn call(
         &mut self,
         now: Millis,
-        want: &Want<'_>,
-        choice: Choice,
-    ) -> Option<AdviceAsk> {
-        let helper =
-            self.free_helpers(now).nth(self.fewest_free(&want.policy, want.urge) - 1)?.clone();
+        want: &AdviceNeed<'_>,
+        choice: AdviceSelection,
+    ) -> Option<AdviceRequest> {
+        let caller = self
+            .free_helpers(now)
+            .nth(self.fewest_free(&want.policy, want.advice_priority) - 1)?
+            .clone();
         let known = self.steps.entry(want.step).or_default();
         let workers = choice.workers;
         if workers.is_empty() || known.asked.is_some() || now < known.next_at {
@@ -422,24 +433,24 @@
         self.next_id += 1;
         let id = self.next_id;
         known.asked = Some(id);
-        known.lacks_since = None;
-        known.next_at = now + ADVICE_PAUSE;
-        self.busy.insert(helper.clone());
+        known.lacks_caller_since = None;
+        known.next_at = now + MIN_ADVICE_INTERVAL;
+        self.busy.insert(caller.clone());
         self.free = self.free.saturating_sub(1);
         let asked = Asked {
             step: want.step,
             queue: want.queue.clone(),
-            helper: helper.clone(),
+            caller: caller.clone(),
             workers: workers.clone(),
-            give_up_at: now + Millis((cost * ADVICE_LATE) as u64) + ADVICE_SLACK,
+            give_up_at: now + Millis((cost * ADVICE_OVERDUE_FACTOR) as u64) + ADVICE_OVERDUE_MARGIN,
             overdue: false,
-            urge: want.urge,
+            advice_priority: want.advice_priority,
         };
         self.calls.insert(id, asked);
         if is_short(&want.policy) {
-            self.reserve.note(now, cost);
+            self.reserve.record(now, cost);
         }
-        Some(AdviceAsk { id, helper, step: want.step, workers })
+        Some(AdviceRequest { id, caller, step: want.step, workers })
     }
 
     /// Processes the answer to a call; `None` if there was none. Returns whether the call was in
@@ -452,25 +463,25 @@
         allowed: Option<Vec<(WorkerId, Name)>>,
     ) -> bool {
         let Some(call) = self.calls.remove(&id) else { return false };
-        self.busy.remove(&call.helper);
+        self.busy.remove(&call.caller);
         let known = self.steps.entry(call.step).or_default();
         if known.asked == Some(id) {
             known.asked = None;
         }
         let Some(allowed) = allowed else {
-            known.next_at = now + ADVICE_PAUSE;
-            self.resting.insert(call.helper, now + HELPER_REST);
+            known.next_at = now + MIN_ADVICE_INTERVAL;
+            self.resting.insert(call.caller, now + ADVICE_CALLER_BACKOFF);
             return true;
         };
-        self.resting.remove(&call.helper);
+        self.resting.remove(&call.caller);
         let rate = self.rates.entry(call.queue).or_insert(Rate { allowed: 1.0, asked: 2.0 });
         // The past decays, so that the rate follows a policy that changes.
         rate.allowed = rate.allowed * 0.9 + allowed.len() as f64;
         rate.asked = rate.asked * 0.9 + call.workers.len() as f64;
-        known.barred.extend(call.workers);
+        known.disallowed.extend(call.workers);
         let until = now + valid.unwrap_or_default();
         for (worker, text) in allowed {
-            known.barred.remove(&worker);
+            known.disallowed.remove(&worker);
             known.allowed.insert(worker.clone());
             known.tickets.insert(worker, Ticket { text, until });
         }
@@ -482,20 +493,20 @@
     pub(crate) fn expire(&mut self, now: Millis) {
         let mut gone = Vec::new();
         for (id, call) in &mut self.calls {
-            if now >= call.give_up_at + HELPER_REST {
+            if now >= call.give_up_at + ADVICE_CALLER_BACKOFF {
                 gone.push(*id);
             } else if now >= call.give_up_at && !call.overdue {
                 call.overdue = true;
-                self.resting.insert(call.helper.clone(), call.give_up_at + HELPER_REST);
+                self.resting.insert(call.caller.clone(), call.give_up_at + ADVICE_CALLER_BACKOFF);
                 if let Some(known) = self.steps.get_mut(&call.step) {
                     known.asked = None;
-                    known.next_at = now + ADVICE_PAUSE;
+                    known.next_at = now + MIN_ADVICE_INTERVAL;
                 }
             }
         }
         for id in gone {
             if let Some(call) = self.calls.remove(&id) {
-                self.busy.remove(&call.helper);
+                self.busy.remove(&call.caller);
             }
         }
     }
@@ -505,8 +516,8 @@
 /// first, until the tasks probably find enough of it; where they do not, also workers that are full
 /// now.
 fn choose(
-    want: &Want<'_>,
-    mut open: Vec<Prospect>,
+    want: &AdviceNeed<'_>,
+    mut open: Vec<AdviceCandidate>,
     (allowed, rate): (&BTreeSet<WorkerId>, f64),
     lacked_callers: bool,
 ) -> Vec<WorkerId> {
@@ -515,16 +526,17 @@
     open.sort_by_cached_key(|p| {
         (p.fits == 0, !allowed.contains(&p.worker), std::cmp::Reverse(p.fits))
     });
-    let all_short = cost_ms(&want.policy, open.len()) <= ADVICE_SHORT_MS;
-    let needed = want.tasks as f64 * ADVICE_ROOM_FACTOR;
-    let most_full = if is_short(&want.policy) { ADVICE_MOST_WORKERS } else { ADVICE_MOST_FULL };
+    let all_short = cost_ms(&want.policy, open.len()) <= MAX_SHORT_ADVICE_MS;
+    let needed = want.tasks as f64 * ADVICE_CAPACITY_FACTOR;
+    let most_full =
+        if is_short(&want.policy) { ADVICE_MAX_WORKERS } else { ADVICE_MAX_FULL_WORKERS };
     let mut workers = Vec::new();
     let mut expected = 0.0;
     let mut full = 0;
-    for p in open.into_iter().take(ADVICE_MOST_WORKERS) {
+    for p in open.into_iter().take(ADVICE_MAX_WORKERS) {
         let known = allowed.contains(&p.worker);
         let least = if all_short {
-            ADVICE_SHORT_WORKERS
+            SHORT_ADVICE_WORKERS
         } else {
             least_named(&want.policy, lacked_callers)
         };
--- a/components/dispatch/src/asking.rs
+++ b/components/dispatch/src/advice_requests.rs
@@ -14,13 +14,13 @@
 use workload::{AdvicePolicy, JobSpec, OpenStep, StepKey, StepSpec, Worker};
 
 use crate::action::Action;
-use crate::advice::{Choice, Prospect, Urge, Want, cost_ms};
+use crate::advice::{AdviceCandidate, AdviceNeed, AdvicePriority, AdviceSelection, cost_ms};
+use crate::candidates::{fits, max_additional_tasks};
 use crate::dispatcher::Dispatcher;
 use crate::input::Moment;
-use crate::limits::MOST_SCANS;
-use crate::place::Turn;
-use crate::seats::{fits, most_more};
-use crate::standing::Reach;
+use crate::limits::MAX_WORKER_SCANS;
+use crate::planning::PlanPass;
+use crate::worker_health::Eligibility;
 
 /// The part of a ticket's validity by which advice on a step may arrive before the step is likely
 /// to open. Declared run times are often too long. Advice that arrives too early costs another
@@ -28,7 +28,7 @@
 const ADVICE_LEAD: f64 = 0.5;
 
 /// A step whose tasks wait for permission to run somewhere.
-pub(crate) struct Need {
+pub(crate) struct StepNeedingAdvice {
     pub(crate) key: StepKey,
     pub(crate) queue: Name,
     pub(crate) policy: AdvicePolicy,
@@ -37,31 +37,32 @@
     /// How many tasks wait, or will.
     pub(crate) tasks: u64,
     /// The workers that may be named.
-    pub(crate) reach: Reach,
+    pub(crate) eligibility: Eligibility,
     /// How many of the reserved instances the call may use.
-    pub(crate) urge: Urge,
+    pub(crate) advice_priority: AdvicePriority,
 }
 
-impl Need {
+impl StepNeedingAdvice {
     fn spec(&self) -> &StepSpec {
         &self.job.steps[self.key.step as usize]
     }
 
-    fn want(&self) -> Want<'_> {
-        let Need { key, queue, policy, tasks, urge, .. } = self;
-        let (policy, tasks, urge, gang) = (*policy, *tasks, *urge, self.spec().gang);
-        Want { step: *key, queue, policy, tasks, gang, urge }
+    fn want(&self) -> AdviceNeed<'_> {
+        let StepNeedingAdvice { key, queue, policy, tasks, advice_priority, .. } = self;
+        let (policy, tasks, advice_priority, gang) =
+            (*policy, *tasks, *advice_priority, self.spec().gang);
+        AdviceNeed { step: *key, queue, policy, tasks, gang, advice_priority }
     }
 }
 
 impl Dispatcher {
     /// Records when advice on the steps that depend on a fully placed one will be needed.
-    pub(crate) fn look_ahead(&mut self, m: Moment, entry: OpenStep) {
-        if !self.limits.mechanisms.asks_ahead {
+    pub(crate) fn schedule_advice(&mut self, m: Moment, entry: OpenStep) {
+        if !self.limits.mechanisms.prefetches_advice {
             return;
         }
         let Some(job) = self.replicated.job(entry.key.job) else { return };
-        let Some(policy) = self.advice_of.get(&job.queue).copied() else { return };
+        let Some(policy) = self.advice_policies.get(&job.queue).copied() else { return };
         let spec = job.spec.clone();
         let round = &job.rounds[entry.key.round as usize];
         let under_way = |d: &u32| round.steps[*d as usize].waiting().next().is_none();
@@ -77,66 +78,77 @@
             ahead.push((at, OpenStep { key: StepKey { step, ..entry.key }, ..entry }));
         }
         for (at, entry) in ahead {
-            self.desk.plan_ahead(at, entry);
+            self.advice_scheduler.schedule_ahead(at, entry);
         }
     }
 
-    pub(crate) fn ask_ahead(&mut self, m: Moment, entry: OpenStep) {
+    pub(crate) fn request_advice_ahead(&mut self, m: Moment, entry: OpenStep) {
         let key = entry.key;
         let Some(job) = self.replicated.job(key.job) else { return };
         let (queue, spec) = (job.queue.clone(), job.spec.clone());
-        let Some(policy) = self.advice_of.get(&queue).copied() else { return };
+        let Some(policy) = self.advice_policies.get(&queue).copied() else { return };
         let tasks = u64::from(spec.steps[key.step as usize].count);
-        let (reach, urge) = (Reach::Good, Urge::Usual);
-        let need = Need { key, queue, policy, job: spec, tasks, reach, urge };
+        let (eligibility, advice_priority) = (Eligibility::Preferred, AdvicePriority::Normal);
+        let need = StepNeedingAdvice {
+            key,
+            queue,
+            policy,
+            job: spec,
+            tasks,
+            eligibility,
+            advice_priority,
+        };
         if !self.may_scan(m, &need) {
             return;
         }
         let choice = self.choose(m, &need);
         self.call(m, &need, choice);
-        self.desk.forget_ahead(&key);
+        self.advice_scheduler.forget_ahead(&key);
     }
 
     /// Returns whether this plan may still scan all workers for some to ask about.
-    fn may_scan(&self, m: Moment, need: &Need) -> bool {
-        let Need { key, policy, urge, .. } = need;
-        self.plan_state.scans < MOST_SCANS && self.desk.may_ask(key, policy, *urge, m.now)
+    fn may_scan(&self, m: Moment, need: &StepNeedingAdvice) -> bool {
+        let StepNeedingAdvice { key, policy, advice_priority, .. } = need;
+        self.plan_state.scans < MAX_WORKER_SCANS
+            && self.advice_scheduler.may_request(key, policy, *advice_priority, m.now)
     }
 
     /// Requests advice on a step if its tasks could start on workers that are not known yet.
     /// Otherwise defers the step: steps that wait for capacity would use up all available calls,
     /// however many workers are free for the steps behind them.
-    pub(crate) fn ask(&mut self, m: Moment, need: Need) {
-        let Need { key, policy, urge, .. } = &need;
-        let lacks_caller = self.desk.lacks_caller(key, policy, *urge, m.now);
+    pub(crate) fn request_advice(&mut self, m: Moment, need: StepNeedingAdvice) {
+        let StepNeedingAdvice { key, policy, advice_priority, .. } = &need;
+        let lacks_caller = self.advice_scheduler.lacks_caller(key, policy, *advice_priority, m.now);
         if lacks_caller {
-            self.desk.note_lack(m.now, key);
+            self.advice_scheduler.record_missing_caller(m.now, key);
         }
-        if self.desk.waits_for_room(&need.key) {
-            self.plan_state.put_back.push((need, None));
+        if self.advice_scheduler.waits_for_capacity(&need.key) {
+            self.plan_state.deferred.push((need, None));
             return;
         }
         if !self.may_scan(m, &need) {
-            let Need { key, policy, urge, .. } = &need;
-            let lacks_look = self.desk.may_ask(key, policy, *urge, m.now);
+            let StepNeedingAdvice { key, policy, advice_priority, .. } = &need;
+            let lacks_look =
+                self.advice_scheduler.may_request(key, policy, *advice_priority, m.now);
             self.plan_state.without_caller += u64::from(lacks_caller);
-            self.plan_state.without_look += u64::from(lacks_look);
+            self.plan_state.not_examined += u64::from(lacks_look);
             return;
         }
         let choice = self.choose(m, &need);
-        self.desk.note_room(m.now, &need.want(), choice.has_room);
+        self.advice_scheduler.record_capacity(m.now, &need.want(), choice.has_capacity);
         // Capacity for an overdue task is reserved on workers that are known to allow it.
-        let must_know = need.urge == Urge::Owed && self.desk.allowed(&need.key).next().is_none();
-        match choice.has_room || must_know {
+        let must_know = need.advice_priority == AdvicePriority::Overdue
+            && self.advice_scheduler.allowed(&need.key).next().is_none();
+        match choice.has_capacity || must_know {
             true => self.call(m, &need, choice),
-            false => self.plan_state.put_back.push((need, Some(choice))),
+            false => self.plan_state.deferred.push((need, Some(choice))),
         }
     }
 
     /// Requests tickets for steps that wait for capacity, the most urgent first, with the calls
     /// that the steps that could start have left.
-    pub(crate) fn ask_for_waiting(&mut self, m: Moment) {
-        for (need, choice) in std::mem::take(&mut self.plan_state.put_back) {
+    pub(crate) fn request_advice_for_waiting(&mut self, m: Moment) {
+        for (need, choice) in std::mem::take(&mut self.plan_state.deferred) {
             let choice = match choice {
                 Some(choice) => choice,
                 None if self.may_scan(m, &need) => self.choose(m, &need),
@@ -147,48 +159,53 @@
     }
 
     /// Returns how many of the reserved instances a call on a step may use.
-    pub(crate) fn urge(turn: Turn) -> Urge {
+    pub(crate) fn advice_priority(turn: PlanPass) -> AdvicePriority {
         match turn {
-            Turn::Owed => Urge::Owed,
-            Turn::Aged => Urge::Aged,
-            Turn::Usual => Urge::Usual,
+            PlanPass::Overdue => AdvicePriority::Overdue,
+            PlanPass::Aged => AdvicePriority::Aged,
+            PlanPass::Normal => AdvicePriority::Normal,
         }
     }
 
-    fn choose(&mut self, m: Moment, need: &Need) -> Choice {
+    fn choose(&mut self, m: Moment, need: &StepNeedingAdvice) -> AdviceSelection {
         self.plan_state.scans += 1;
         let prospects = self.prospects(m, need);
-        self.desk.choose(m.now, &need.want(), prospects)
+        self.advice_scheduler.choose(m.now, &need.want(), prospects)
     }
 
-    fn call(&mut self, m: Moment, need: &Need, choice: Choice) {
-        let Some(ask) = self.desk.call(m.now, &need.want(), choice) else { return };
-        let (by, named, tasks) = (&ask.helper, ask.workers.len(), need.tasks);
-        self.note(&kinds::ADVICE_ASKED, need.key, format!("by={by} named={named} tasks={tasks}"));
-        self.act(Action::Ask(ask));
+    fn call(&mut self, m: Moment, need: &StepNeedingAdvice, choice: AdviceSelection) {
+        let Some(request) = self.advice_scheduler.call(m.now, &need.want(), choice) else { return };
+        let (by, named, tasks) = (&request.caller, request.workers.len(), need.tasks);
+        self.log_event(
+            &kinds::ADVICE_ASKED,
+            need.key,
+            format!("by={by} named={named} tasks={tasks}"),
+        );
+        self.act(Action::RequestAdvice(request));
     }
 
     /// Returns the workers that a call may name. Iterates over both maps in parallel: looking up
     /// each of 1,100 workers in them, 250 times a second, took most of a plan's time.
-    fn prospects(&self, m: Moment, need: &Need) -> Vec<Prospect> {
+    fn prospects(&self, m: Moment, need: &StepNeedingAdvice) -> Vec<AdviceCandidate> {
         let (key, spec) = (&need.key, need.spec());
         let Some(job) = self.replicated.job(key.job) else { return Vec::new() };
-        let barred = self.desk.barred(key);
-        let mut views = self.views.iter().peekable();
+        let disallowed = self.advice_scheduler.disallowed(key);
+        let mut worker_views = self.worker_views.iter().peekable();
         let mut found = Vec::new();
         for (id, worker) in self.replicated.workers() {
-            while views.next_if(|(known, _)| *known < id).is_some() {}
-            let Some((_, view)) = views.next_if(|(known, _)| *known == id) else { continue };
-            let open = barred.is_none_or(|b| !b.contains(id));
-            if open && self.is_suitable(m, need.reach, &job.service, spec, worker, view) {
+            while worker_views.next_if(|(known, _)| *known < id).is_some() {}
+            let Some((_, view)) = worker_views.next_if(|(known, _)| *known == id) else { continue };
+            let open = disallowed.is_none_or(|b| !b.contains(id));
+            if open && self.is_suitable(m, need.eligibility, &job.service, spec, worker, view) {
                 found.push(self.prospect(key, spec, worker));
             }
         }
         found
     }
 
-    fn prospect(&self, key: &StepKey, spec: &StepSpec, worker: &Worker) -> Prospect {
-        let fits = fits(spec, &self.room_for(spec, worker)).min(most_more(key, spec, worker));
-        Prospect { worker: worker.info.id.clone(), fits }
+    fn prospect(&self, key: &StepKey, spec: &StepSpec, worker: &Worker) -> AdviceCandidate {
+        let fits = fits(spec, &self.free_capacity_for(spec, worker))
+            .min(max_additional_tasks(key, spec, worker));
+        AdviceCandidate { worker: worker.info.id.clone(), fits }
     }
 }
--- a/components/dispatch/src/reserve.rs
+++ b/components/dispatch/src/advice_reserve.rs
@@ -22,7 +22,7 @@
 
 /// The number of instances that short calls recently kept busy.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Reserve {
+pub(crate) struct AdviceReserve {
     /// `None` before any load is known.
     load: Option<Load>,
 }
@@ -51,16 +51,16 @@
     }
 }
 
-impl Reserve {
+impl AdviceReserve {
     /// Records a short call that is made and takes so long.
-    pub(crate) fn note(&mut self, now: Millis, takes_ms: f64) {
+    pub(crate) fn record(&mut self, now: Millis, takes_ms: f64) {
         let before = self.load.map_or(0.0, |load| load.faded_ms(now));
         self.load = Some(Load { ms: before + takes_ms, at: now });
     }
 
     /// Returns how many of so many instances are reserved. A new leader reserves the maximum until
     /// it has observed how many calls there are.
-    pub(crate) fn kept(&mut self, now: Millis, instances: usize) -> usize {
+    pub(crate) fn reserved_instances(&mut self, now: Millis, instances: usize) -> usize {
         let most = instances / MOST_KEPT_ONE_IN;
         let least = instances / LEAST_KEPT_ONE_IN;
         let unknown = Load::of_busy(most as f64 / KEPT_A_BUSY, now);
--- a/components/dispatch/src/aging.rs
+++ b/components/dispatch/src/aging.rs
@@ -10,13 +10,13 @@
 use model::{Dimension, Size};
 use workload::{OpenStep, Worker};
 
-use crate::advice::Urge;
+use crate::advice::AdvicePriority;
+use crate::candidates::{fits, max_additional_tasks};
 use crate::dispatcher::Dispatcher;
 use crate::input::Moment;
-use crate::limits::{AGED_AFTER, MOST_AGED, MOST_LOOKS_AT_AGED};
-use crate::seats::{fits, most_more};
-use crate::standing::Reach;
-use crate::view::View;
+use crate::limits::{ADVICE_AGED_AFTER, MAX_AGED_STEPS, MAX_AGED_STEPS_EXAMINED};
+use crate::worker_health::Eligibility;
+use crate::worker_view::WorkerView;
 
 /// Returns whether at least half of each resource is free.
 fn is_half_empty(capacity: &Size, used: &Size) -> bool {
@@ -32,44 +32,45 @@
         m: Moment,
         steps: impl Iterator<Item = &'a OpenStep>,
     ) -> Vec<OpenStep> {
-        let lacked = |e: &OpenStep| Some((self.desk.lacks_since(&e.key)?, *e));
+        let lacked = |e: &OpenStep| Some((self.advice_scheduler.lacks_caller_since(&e.key)?, *e));
         let mut aged: Vec<(Millis, OpenStep)> = steps.filter_map(lacked).collect();
-        aged.retain(|(since, _)| m.now.since(*since) >= AGED_AFTER);
+        aged.retain(|(since, _)| m.now.since(*since) >= ADVICE_AGED_AFTER);
         if aged.is_empty() {
             return Vec::new();
         }
         aged.sort_unstable();
         // The steps rotate, because those that find no capacity stay among the first.
-        let first = self.aged_turn % aged.len();
+        let first = self.aged_rotation % aged.len();
         aged.rotate_left(first);
-        aged.truncate(MOST_LOOKS_AT_AGED);
-        self.aged_turn = self.aged_turn.wrapping_add(aged.len());
+        aged.truncate(MAX_AGED_STEPS_EXAMINED);
+        self.aged_rotation = self.aged_rotation.wrapping_add(aged.len());
         let idle = self.half_empty_workers();
-        let looks = (aged.len() * idle.len()) as u64;
+        let examined = (aged.len() * idle.len()) as u64;
         let aged = aged.into_iter().map(|(_, e)| e);
         let stands = aged.filter(|e| self.has_room_on(m, e, &idle));
-        let stands: Vec<OpenStep> = stands.take(MOST_AGED).collect();
-        self.plan_state.looks += looks;
+        let stands: Vec<OpenStep> = stands.take(MAX_AGED_STEPS).collect();
+        self.plan_state.examined += examined;
         stands
     }
 
-    fn half_empty_workers(&self) -> Vec<(&Worker, &View)> {
-        let usable = self.views.iter().filter(|(_, v)| v.is_usable());
+    fn half_empty_workers(&self) -> Vec<(&Worker, &WorkerView)> {
+        let usable = self.worker_views.iter().filter(|(_, v)| v.is_usable());
         let workers = usable.filter_map(|(id, v)| Some((self.replicated.worker(id)?, v)));
         workers.filter(|(w, _)| is_half_empty(&w.info.capacity, &w.used)).collect()
     }
 
     /// Returns whether tasks of a step could start on one of some workers, unless these are known
     /// not to be allowed.
-    fn has_room_on(&self, m: Moment, entry: &OpenStep, workers: &[(&Worker, &View)]) -> bool {
+    fn has_room_on(&self, m: Moment, entry: &OpenStep, workers: &[(&Worker, &WorkerView)]) -> bool {
         let key = &entry.key;
         let Some(job) = self.replicated.job(key.job) else { return false };
         let spec = &job.spec.steps[key.step as usize];
-        let barred = self.desk.barred(key);
-        let takes = |(worker, view): &(&Worker, &View)| {
-            let open = barred.is_none_or(|b| !b.contains(&worker.info.id));
-            let room = || fits(spec, &worker.free()).min(most_more(key, spec, worker));
-            let suitable = || self.is_suitable(m, Reach::Good, &job.service, spec, worker, view);
+        let disallowed = self.advice_scheduler.disallowed(key);
+        let takes = |(worker, view): &(&Worker, &WorkerView)| {
+            let open = disallowed.is_none_or(|b| !b.contains(&worker.info.id));
+            let room = || fits(spec, &worker.free()).min(max_additional_tasks(key, spec, worker));
+            let suitable =
+                || self.is_suitable(m, Eligibility::Preferred, &job.service, spec, worker, view);
             open && room() > 0 && suitable()
         };
         workers.iter().any(takes)
@@ -77,7 +78,12 @@
 
     /// Marks steps for re-examination in the plan that begins, as if they could start and with a
     /// claim to a call.
-    pub(crate) fn favour_aged(&mut self, m: Moment, aged: &[OpenStep]) {
-        self.desk.look_again(m.now, Urge::Aged, aged.iter().map(|e| &e.key), aged.len());
+    pub(crate) fn reexamine_aged(&mut self, m: Moment, aged: &[OpenStep]) {
+        self.advice_scheduler.reexamine(
+            m.now,
+            AdvicePriority::Aged,
+            aged.iter().map(|e| &e.key),
+            aged.len(),
+        );
     }
 }
--- a/components/dispatch/src/answer_times.rs
+++ b/components/dispatch/src/answer_times.rs
@@ -6,7 +6,7 @@
 
 use clock::Millis;
 
-use crate::limits::{LONGEST_ANSWER, SHORTEST_ANSWER};
+use crate::limits::{MAX_ANSWER_TIMEOUT, MIN_ANSWER_TIMEOUT};
 
 /// By what part a new answer moves the mean, and its distance from the mean the deviation: the usual
 /// weights of a retransmission timer.
@@ -25,11 +25,11 @@
 impl AnswerTimes {
     /// Begins with as long a wait as any: a new leader has its hands full.
     pub(crate) fn unknown() -> AnswerTimes {
-        AnswerTimes { mean: LONGEST_ANSWER.0 as f64, deviation: 0.0 }
+        AnswerTimes { mean: MAX_ANSWER_TIMEOUT.0 as f64, deviation: 0.0 }
     }
 
     /// Takes in how long an answer took, or how long one was awaited in vain.
-    pub(crate) fn note(&mut self, took: Millis) {
+    pub(crate) fn record(&mut self, took: Millis) {
         let distance = took.0 as f64 - self.mean;
         self.mean += MEAN_GAIN * distance;
         self.deviation += DEVIATION_GAIN * (distance.abs() - self.deviation);
@@ -38,6 +38,6 @@
     /// Gives how long to wait for the next answer.
     pub(crate) fn limit(&self) -> Millis {
         let limit = Millis((self.mean + DEVIATIONS * self.deviation) as u64);
-        limit.max(SHORTEST_ANSWER).min(LONGEST_ANSWER)
+        limit.max(MIN_ANSWER_TIMEOUT).min(MAX_ANSWER_TIMEOUT)
     }
 }
--- a/components/dispatch/src/call.rs
+++ b/components/dispatch/src/call.rs
@@ -13,7 +13,7 @@
     /// Hand in a job.
     Submit(Arc<JobSpec>),
     /// Learn a job's state or, at a queue's own path, how many jobs wait there.
-    Look,
+    Query,
     /// Cancel a job.
     Cancel,
 }
@@ -55,7 +55,7 @@
 
 impl Call {
     /// Makes a caller's call.
-    pub fn of_caller(
+    pub fn from_caller(
         (host, path): (Name, Name),
         size: u64,
         verb: Verb,
@@ -76,8 +76,8 @@
     }
 
     /// Tells whether the call changes nothing.
-    pub fn only_reads(&self) -> bool {
-        matches!(self, Call::Read) || matches!(self.verb(), Some((_, Verb::Look)))
+    pub fn is_read_only(&self) -> bool {
+        matches!(self, Call::Read) || matches!(self.verb(), Some((_, Verb::Query)))
     }
 }
 
--- a/components/dispatch/src/callers.rs
+++ b/components/dispatch/src/call_handling.rs
@@ -9,7 +9,7 @@
 use crate::call::{Answer, Call, Verb};
 use crate::dispatcher::Dispatcher;
 use crate::input::{Moment, Token};
-use crate::limits::{COME_BACK, KEY_TOLD_AGAIN};
+use crate::limits::{CALLER_RETRY_AFTER, KEY_REFUSED_LOG_INTERVAL};
 use crate::organisations::{Caller, step_beyond_limit};
 
 impl Dispatcher {
@@ -17,7 +17,7 @@
     pub(crate) fn on_call(&mut self, m: Moment, token: Token, call: Call) {
         if m.now >= m.leads_until {
             // Nothing was proposed, so this is surely not done.
-            self.reply_now(token, Answer::NotDone { retry_after: COME_BACK });
+            self.reply_now(token, Answer::NotDone { retry_after: CALLER_RETRY_AFTER });
             return;
         }
         let answer = match call {
@@ -37,28 +37,28 @@
         let policy = match self.reader.read(&document.text) {
             Ok(policy) => policy,
             Err(e) => {
-                self.note(&kinds::CONFIG_FAULTY, document.version, format!("fault={e:?}"));
+                self.log_event(&kinds::CONFIG_FAULTY, document.version, format!("fault={e:?}"));
                 return Answer::Invalid(e.to_string().into());
             }
         };
         let held = self.replicated.document().version;
         if document.version > held {
             let queues = policy.queues.len();
-            self.note(
+            self.log_event(
                 &kinds::CONFIG_TAKEN,
                 document.version,
                 format!("held={held} queues={queues}"),
             );
             self.set_policy(policy);
             self.propose(Command::Configure(document));
-            self.admit_strangers(m);
+            self.admit_configured(m);
         }
         Answer::Published
     }
 
     fn read_document(&self) -> Answer {
         match self.replicated.document().version {
-            0 => Answer::NotDone { retry_after: COME_BACK },
+            0 => Answer::NotDone { retry_after: CALLER_RETRY_AFTER },
             _ => Answer::Document(self.replicated.document().clone()),
         }
     }
@@ -72,7 +72,7 @@
         credential: Credential,
     ) -> Answer {
         let Some(policy) = self.policy.clone() else {
-            return Answer::NotDone { retry_after: COME_BACK };
+            return Answer::NotDone { retry_after: CALLER_RETRY_AFTER };
         };
         let Some((queue, rest)) = policy.route(host, path) else { return Answer::NoQueue };
         let Some(caller) = Caller::of(&policy, queue, &credential) else {
@@ -81,18 +81,18 @@
         if policy.max_body > 0 && size > policy.max_body {
             return Answer::TooLarge;
         }
-        if let (Verb::Look, "") = (&verb, rest) {
+        if let (Verb::Query, "") = (&verb, rest) {
             return self.count_pending(queue);
         }
         let id = rest.parse::<JobId>();
         match (verb, id) {
-            (Verb::Submit(_), Ok(id)) if !self.may_handle(queue, &caller, id) => {
+            (Verb::Submit(_), Ok(id)) if !self.may_access(queue, &caller, id) => {
                 Answer::Invalid("the id is that of another organisation's job".into())
             }
-            (_, Ok(id)) if !self.may_handle(queue, &caller, id) => Answer::NoJob,
+            (_, Ok(id)) if !self.may_access(queue, &caller, id) => Answer::NoJob,
             (Verb::Submit(spec), Ok(id)) => self.submit(m, (queue, caller), id, spec),
             (Verb::Submit(_), Err(_)) => Answer::Invalid("the id is not 16 hex digits".into()),
-            (Verb::Look, Ok(id)) => self.look(id),
+            (Verb::Query, Ok(id)) => self.look(id),
             (Verb::Cancel, Ok(id)) => self.cancel(m, id),
             (_, Err(_)) => Answer::NoJob,
         }
@@ -100,8 +100,8 @@
 
     /// Refuses a call that shows no key of an organisation, and tells of it by the fingerprint of what it shows.
     fn refuse_key(&mut self, m: Moment, queue: &Queue, credential: &Credential) -> Answer {
-        if m.now >= self.tell_key_at {
-            self.tell_key_at = m.now + KEY_TOLD_AGAIN;
+        if m.now >= self.next_key_log_at {
+            self.next_key_log_at = m.now + KEY_REFUSED_LOG_INTERVAL;
             let shown = match credential {
                 Credential::None => "nothing".to_owned(),
                 Credential::Malformed => "no_key".to_owned(),
@@ -109,7 +109,7 @@
             };
             let version = self.replicated.document().version;
             let details = format!("shown={shown} config={version}");
-            self.note(&kinds::KEY_REFUSED, &queue.name, details);
+            self.log_event(&kinds::KEY_REFUSED, &queue.name, details);
         }
         Answer::NoKey
     }
@@ -150,7 +150,7 @@
             let of = organisation.as_deref().unwrap_or("-");
             let (queue, term) = (&queue.name, self.term);
             let details = format!("queue={queue} organisation={of} config={version} term={term}");
-            self.note(&kinds::JOB_ACCEPTED, id, details);
+            self.log_event(&kinds::JOB_ACCEPTED, id, details);
         }
         Answer::Accepted
     }
@@ -173,8 +173,8 @@
             return Answer::NoJob;
         }
         self.propose(Command::Cancel { id, at: m.wall });
-        self.note(&kinds::JOB_GIVEN_UP, id, format!("term={}", self.term));
-        self.sweep.insert(id);
+        self.log_event(&kinds::JOB_GIVEN_UP, id, format!("term={}", self.term));
+        self.jobs_to_clean_up.insert(id);
         Answer::Cancelled
     }
 
--- a/components/dispatch/src/seats.rs
+++ b/components/dispatch/src/candidates.rs
@@ -7,8 +7,8 @@
 
 use crate::dispatcher::Dispatcher;
 use crate::input::Moment;
-use crate::standing::Reach;
 use crate::suspects::{Suspicion, YoungSuspects};
+use crate::worker_health::Eligibility;
 
 /// The cost of a worker on which a run of the task has failed: more than that of a completely
 /// filled one.
@@ -48,7 +48,7 @@
 }
 
 /// Returns how many more tasks of a step a worker may run, whatever capacity it has free.
-pub(crate) fn most_more(key: &StepKey, spec: &StepSpec, worker: &Worker) -> u64 {
+pub(crate) fn max_additional_tasks(key: &StepKey, spec: &StepSpec, worker: &Worker) -> u64 {
     match spec.max_per_worker {
         0 => u64::MAX,
         most => u64::from(most.saturating_sub(runs_of(key, worker))),
@@ -56,7 +56,7 @@
 }
 
 /// A task assigned to a worker.
-pub(crate) struct Seated {
+pub(crate) struct Assignment {
     /// The index of the task in its step.
     pub(crate) index: u32,
     pub(crate) worker: WorkerId,
@@ -65,7 +65,7 @@
 
 /// A worker that could take tasks of a step.
 #[derive(Clone)]
-pub(crate) struct Seat {
+pub(crate) struct Candidate {
     worker: WorkerId,
     capacity: Size,
     free: Size,
@@ -80,7 +80,7 @@
     /// The young suspects that run there.
     suspects: YoungSuspects,
     /// Whether anything young runs there. It is determined only where there are suspects.
-    runs_young: bool,
+    has_young_run: bool,
     /// Whether it is on probation and takes only one task, as a try.
     on_trial: bool,
     /// Whether it may take a task whose job ends if it fails once more.
@@ -98,7 +98,7 @@
     suspicion: Suspicion,
 }
 
-impl Seat {
+impl Candidate {
     fn fits(&self, room: &Size, spec: &StepSpec) -> bool {
         let crowded = spec.max_per_worker > 0 && self.here >= spec.max_per_worker;
         let tried = self.on_trial && self.taken;
@@ -120,7 +120,7 @@
         }
         cost += FAIL_PENALTY * f64::from(self.fails);
         cost += SUSPECT_PENALTY * f64::from(self.suspects.count);
-        if wishes.suspicion == Suspicion::LastTry && self.runs_young {
+        if wishes.suspicion == Suspicion::LastAttempt && self.has_young_run {
             cost += COMPANY_PENALTY;
         }
         if avoided {
@@ -138,67 +138,70 @@
 
 impl Dispatcher {
     /// Returns the candidate workers that may take tasks of a step now.
-    pub(crate) fn seats(
+    pub(crate) fn candidates(
         &self,
         m: Moment,
-        reach: Reach,
+        eligibility: Eligibility,
         key: &StepKey,
         spec: &StepSpec,
         by_ticket: bool,
-    ) -> Vec<Seat> {
+    ) -> Vec<Candidate> {
         let suspected = !self.replicated.crashes().is_empty();
-        let seat = |id: &WorkerId, ticket: Option<Name>| {
+        let candidate = |id: &WorkerId, ticket: Option<Name>| {
             // With a backlog most workers are full, and this check is the cheapest.
             let worker =
                 self.replicated.worker(id).filter(|w| spec.required_capacity().fits(&w.free()))?;
-            self.suitable(m, reach, key, spec, id)?;
+            self.suitable_worker(m, eligibility, key, spec, id)?;
             let near = spec.rack.as_ref().is_some_and(|r| worker.info.labels.contains(r));
-            let on_trial = self.views.get(id).is_some_and(|v| v.record.is_on_trial(m.now));
-            Some(Seat {
+            let on_trial =
+                self.worker_views.get(id).is_some_and(|v| v.health.is_on_probation(m.now));
+            Some(Candidate {
                 worker: id.clone(),
                 capacity: worker.info.capacity,
-                free: self.room_for(spec, worker),
+                free: self.free_capacity_for(spec, worker),
                 here: runs_of(key, worker),
                 near,
                 zone: worker.info.zone.clone(),
                 rack: worker.info.labels.last().cloned(),
                 ticket,
-                fails: self.views.get(id).map_or(0, |v| v.record.weight(m.now)),
+                fails: self.worker_views.get(id).map_or(0, |v| v.health.failure_weight(m.now)),
                 suspects: self.plan_state.young_suspects.get(id).copied().unwrap_or_default(),
-                runs_young: suspected && self.runs_young(m.now, id),
-                on_trial: on_trial && reach != Reach::All,
+                has_young_run: suspected && self.has_young_run(m.now, id),
+                on_trial: on_trial && eligibility != Eligibility::All,
                 // A failed try must not end a job, unless the job has nothing else to wait for.
-                takes_last_attempts: !on_trial || reach != Reach::Good,
+                takes_last_attempts: !on_trial || eligibility != Eligibility::Preferred,
                 taken: false,
             })
         };
         match by_ticket {
             true => {
-                let tickets = self.desk.tickets(key, m.now);
-                tickets.filter_map(|(id, text)| seat(id, Some(text.clone()))).collect()
+                let tickets = self.advice_scheduler.tickets(key, m.now);
+                tickets.filter_map(|(id, text)| candidate(id, Some(text.clone()))).collect()
             }
-            false => self.views.keys().filter_map(|id| seat(id, None)).collect(),
+            false => self.worker_views.keys().filter_map(|id| candidate(id, None)).collect(),
         }
     }
 
-    pub(crate) fn seat_each(
+    pub(crate) fn assign_each(
         &self,
         key: &StepKey,
         spec: &StepSpec,
         waiting: &[u32],
-        seats: &mut [Seat],
-    ) -> Vec<Seated> {
+        candidates: &mut [Candidate],
+    ) -> Vec<Assignment> {
         let mut placed = Vec::new();
         // With a backlog most steps find every worker full, and need no preferred zone.
-        if seats.is_empty() {
+        if candidates.is_empty() {
             return placed;
         }
-        let home = self.home(key, spec, waiting.len(), seats);
+        let home = self.home(key, spec, waiting.len(), candidates);
         for index in waiting {
             let task = TaskKey { step: *key, index: *index };
-            let Some(seat) = self.best_seat(&task, spec, seats, &home) else { break };
-            let (worker, ticket) = (seat.worker.clone(), seat.ticket.clone());
-            placed.push(Seated { index: *index, worker, ticket });
+            let Some(candidate) = self.best_candidate(&task, spec, candidates, &home) else {
+                break;
+            };
+            let (worker, ticket) = (candidate.worker.clone(), candidate.ticket.clone());
+            placed.push(Assignment { index: *index, worker, ticket });
         }
         placed
     }
@@ -207,8 +210,14 @@
     /// already runs, or the one with the most free capacity. A job is late if one of its tasks is,
     /// so the fewer zones it spans, the fewer jobs the loss of a zone affects. Long-running tasks
     /// count individually and may go anywhere.
-    fn home(&self, key: &StepKey, spec: &StepSpec, tasks: usize, seats: &[Seat]) -> BTreeSet<Name> {
-        if spec.long_running || !self.limits.mechanisms.keeps_zones {
+    fn home(
+        &self,
+        key: &StepKey,
+        spec: &StepSpec,
+        tasks: usize,
+        candidates: &[Candidate],
+    ) -> BTreeSet<Name> {
+        if spec.long_running || !self.limits.mechanisms.colocates_jobs {
             return BTreeSet::new();
         }
         let running = self.zones_of(key);
@@ -216,8 +225,9 @@
             return running;
         }
         let mut room: BTreeMap<&Name, u64> = BTreeMap::new();
-        for seat in seats {
-            *room.entry(&seat.zone).or_default() += fits(spec, &seat.free).min(tasks as u64);
+        for candidate in candidates {
+            *room.entry(&candidate.zone).or_default() +=
+                fits(spec, &candidate.free).min(tasks as u64);
         }
         let best = room.into_iter().max_by_key(|(_, fits)| *fits);
         best.map(|(zone, _)| zone.clone()).into_iter().collect()
@@ -241,26 +251,26 @@
     }
 
     /// Assigns the best candidate to a task, and counts the task against its capacity.
-    fn best_seat<'a>(
+    fn best_candidate<'a>(
         &self,
         task: &TaskKey,
         spec: &StepSpec,
-        seats: &'a mut [Seat],
+        candidates: &'a mut [Candidate],
         home: &BTreeSet<Name>,
-    ) -> Option<&'a Seat> {
+    ) -> Option<&'a Candidate> {
         // A filler also needs its declared processor time where it is placed.
         let room = spec.size;
-        let avoid = self.avoid.get(task);
-        let avoided = |s: &Seat| avoid.is_some_and(|a| a.contains(&s.worker));
+        let avoided_workers = self.avoided_workers.get(task);
+        let avoided = |s: &Candidate| avoided_workers.is_some_and(|a| a.contains(&s.worker));
         let packs_accelerators = self.limits.mechanisms.packs_accelerators;
         let suspicion = self.suspicion(task);
         let last_attempt = self.is_last_attempt(task, spec);
         let wishes = Wishes { home, packs_accelerators, suspicion };
-        let risky = |s: &Seat| last_attempt && !s.takes_last_attempts;
-        let may = |s: &Seat| s.fits(&room, spec) && s.suspects.admit(suspicion) && !risky(s);
-        let fitting = seats.iter_mut().filter(|s| may(s));
+        let risky = |s: &Candidate| last_attempt && !s.takes_last_attempts;
+        let may = |s: &Candidate| s.fits(&room, spec) && s.suspects.admits(suspicion) && !risky(s);
+        let fitting = candidates.iter_mut().filter(|s| may(s));
         let best = fitting.min_by(|a, b| {
-            let cost = |s: &Seat| s.cost(&room, spec, &wishes, avoided(s));
+            let cost = |s: &Candidate| s.cost(&room, spec, &wishes, avoided(s));
             cost(a).total_cmp(&cost(b))
         })?;
         best.free = best.free.minus(&room);
@@ -269,31 +279,31 @@
         // The members of a gang are suspected together, so they may share a worker.
         if !spec.gang {
             best.suspects.add(suspicion);
-            best.runs_young = true;
+            best.has_young_run = true;
         }
         Some(best)
     }
 
     /// Assigns all tasks of a gang or none, on one rack where that is required and possible.
-    pub(crate) fn seat_gang(
+    pub(crate) fn assign_gang(
         &self,
         key: &StepKey,
         spec: &StepSpec,
         waiting: &[u32],
-        seats: &mut [Seat],
-    ) -> Vec<Seated> {
+        candidates: &mut [Candidate],
+    ) -> Vec<Assignment> {
         if spec.same_rack {
-            let racks: BTreeSet<Name> = seats.iter().filter_map(|s| s.rack.clone()).collect();
+            let racks: BTreeSet<Name> = candidates.iter().filter_map(|s| s.rack.clone()).collect();
             for rack in racks {
-                let on_rack = |s: &&Seat| s.rack.as_ref() == Some(&rack);
-                let mut some: Vec<Seat> = seats.iter().filter(on_rack).cloned().collect();
-                let placed = self.seat_each(key, spec, waiting, &mut some);
+                let on_rack = |s: &&Candidate| s.rack.as_ref() == Some(&rack);
+                let mut some: Vec<Candidate> = candidates.iter().filter(on_rack).cloned().collect();
+                let placed = self.assign_each(key, spec, waiting, &mut some);
                 if placed.len() == waiting.len() {
                     return placed;
                 }
             }
         }
-        let placed = self.seat_each(key, spec, waiting, seats);
+        let placed = self.assign_each(key, spec, waiting, candidates);
         if placed.len() == waiting.len() { placed } else { Vec::new() }
     }
 }
--- a/components/dispatch/src/room.rs
+++ b/components/dispatch/src/capacity_reservations.rs
@@ -10,29 +10,29 @@
 use model::{Dimension, Name, Size};
 use workload::{StepKey, StepSpec, TaskKey, Worker, WorkerId, WorkerInfo};
 
+use crate::candidates::max_additional_tasks;
 use crate::dispatcher::Dispatcher;
 use crate::input::Moment;
 use crate::limits::{
-    LARGE_PART, MOST_KEPT_PART, MOST_LOOKS_FOR_OWED, MOST_ROOMS_MADE, PREEMPT_SLACK,
-    SHORTEST_PREEMPTOR,
+    LARGE_TASK_DIVISOR, MAX_RESERVATIONS, MAX_RESERVED_DIVISOR, MIN_PREEMPTION_SLACK,
+    MIN_PREEMPTOR_RUN_TIME, OVERDUE_EXAMINATION_BUDGET,
 };
-use crate::place::Turn;
-use crate::seats::most_more;
-use crate::standing::Reach;
-use crate::view::{Stage, View};
+use crate::planning::PlanPass;
+use crate::worker_health::Eligibility;
+use crate::worker_view::{Stage, WorkerView};
 
 /// The workers that are eligible for a step, whatever capacity they have free. Reservations are
 /// limited per such set, so that steps waiting for some workers do not use up the limit of those
 /// waiting for others.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Sought {
+pub(crate) struct WorkerSelector {
     service: Name,
     label: Option<Name>,
 }
 
 /// What a plan reserves on the workers that are eligible for the same steps.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Kept {
+pub(crate) struct ReservedCapacity {
     /// The number of steps for which capacity was sought.
     steps: u32,
     /// The reserved capacity that is idle so far.
@@ -41,11 +41,11 @@
     of: Size,
 }
 
-impl Kept {
+impl ReservedCapacity {
     /// Returns whether `idle` more may be reserved idle. The first reservation is always allowed,
     /// whatever its size.
     fn allows(&self, idle: &Size) -> bool {
-        self.idle == Size::ZERO || self.idle.plus(idle).times(MOST_KEPT_PART).fits(&self.of)
+        self.idle == Size::ZERO || self.idle.plus(idle).times(MAX_RESERVED_DIVISOR).fits(&self.of)
     }
 }
 
@@ -90,7 +90,7 @@
 /// run frees.
 fn is_large(size: &Size, capacity: &Size) -> bool {
     let large = |d: &Dimension| {
-        size.get(*d).saturating_mul(LARGE_PART) >= capacity.get(*d) && size.get(*d) > 0
+        size.get(*d).saturating_mul(LARGE_TASK_DIVISOR) >= capacity.get(*d) && size.get(*d) > 0
     };
     Dimension::ALL.iter().any(large)
 }
@@ -140,47 +140,48 @@
     /// them that are less urgent, keep checkpoints and have slack. Does nothing for small tasks,
     /// unless they are overdue, nor for a gang where the workers that are known to be allowed
     /// cannot hold all of it.
-    pub(crate) fn make_room(
+    pub(crate) fn reserve_capacity(
         &mut self,
         m: Moment,
-        reach: Reach,
+        eligibility: Eligibility,
         key: &StepKey,
         spec: &StepSpec,
         tasks: usize,
-        turn: Turn,
+        turn: PlanPass,
     ) {
-        let off = !self.limits.mechanisms.keeps_room;
+        let off = !self.limits.mechanisms.reserves_capacity;
         if off || spec.filler {
             return;
         }
         let Some(sought) = self.sought(key, spec) else { return };
         let by_advice = self.is_by_advice(key);
-        let mut kept = match self.plan_state.rooms_made.get(&sought) {
+        let mut kept = match self.plan_state.reservations.get(&sought) {
             Some(kept) => *kept,
-            None => Kept { of: self.room_of(&sought), ..Kept::default() },
+            None => ReservedCapacity { of: self.room_of(&sought), ..ReservedCapacity::default() },
         };
-        if kept.steps >= MOST_ROOMS_MADE {
+        if kept.steps >= MAX_RESERVATIONS {
             return;
         }
         // Scanning all workers for each waiting step would take a quarter of the leader's processor
         // with 350 workers, and few of them are allowed.
         let ids: Vec<&WorkerId> = match by_advice {
-            true => self.desk.allowed(key).collect(),
-            false => self.views.keys().collect(),
+            true => self.advice_scheduler.allowed(key).collect(),
+            false => self.worker_views.keys().collect(),
         };
         let mut workers = ids.iter().filter_map(|id| self.replicated.worker(id));
         // An overdue long-running task waits for capacity like a large one, because smaller tasks
         // take what is freed.
-        let owed = turn == Turn::Owed && self.plan_state.looks < MOST_LOOKS_FOR_OWED;
-        let waits_for_room = spec.gang || owed;
-        if !waits_for_room && !workers.any(|w| is_large(&spec.size, &w.info.capacity)) {
+        let owed =
+            turn == PlanPass::Overdue && self.plan_state.examined < OVERDUE_EXAMINATION_BUDGET;
+        let waits_for_capacity = spec.gang || owed;
+        if !waits_for_capacity && !workers.any(|w| is_large(&spec.size, &w.info.capacity)) {
             return;
         }
-        let places = ids.into_iter().filter_map(|id| self.place(m, reach, key, spec, id));
+        let places = ids.into_iter().filter_map(|id| self.place(m, eligibility, key, spec, id));
         let mut places: Vec<Place> = places.collect();
-        self.plan_state.looks += places.len() as u64;
+        self.plan_state.examined += places.len() as u64;
         kept.steps += 1;
-        self.plan_state.rooms_made.insert(sought.clone(), kept);
+        self.plan_state.reservations.insert(sought.clone(), kept);
         for _ in 0..tasks {
             let waits = places.iter_mut().filter_map(|p| Some((p.wait(&spec.size)?, p)));
             match waits.min_by_key(|(wait, _)| *wait) {
@@ -202,13 +203,13 @@
             kept.idle = kept.idle.plus(&idle);
             self.keep(key, spec, place);
         }
-        self.plan_state.rooms_made.insert(sought, kept);
+        self.plan_state.reservations.insert(sought, kept);
     }
 
     /// Records the reservation on one worker, and preempts the runs that it needs ended.
     fn keep(&mut self, key: &StepKey, spec: &StepSpec, place: Place) {
         let wanted = spec.size.times(place.taken);
-        let kept = self.plan_state.kept_free.entry(place.worker.clone()).or_default();
+        let kept = self.plan_state.reserved_capacity.entry(place.worker.clone()).or_default();
         *kept = kept.plus(&wanted);
         for victim in place.stopped {
             self.preempt(&place.worker, key, &victim);
@@ -216,8 +217,8 @@
     }
 
     /// Returns the total capacity of the workers that are eligible for some steps.
-    fn room_of(&self, sought: &Sought) -> Size {
-        let Sought { service, label } = sought;
+    fn room_of(&self, sought: &WorkerSelector) -> Size {
+        let WorkerSelector { service, label } = sought;
         let infos = self.replicated.workers().values().map(|w| &w.info);
         let labelled = |i: &WorkerInfo| label.as_ref().is_none_or(|l| i.labels.contains(l));
         let sought = infos.filter(|i| i.service == *service && labelled(i));
@@ -226,43 +227,43 @@
 
     /// Returns whether a step needs advice.
     fn is_by_advice(&self, key: &StepKey) -> bool {
-        self.replicated.job(key.job).is_some_and(|j| self.advice_of.contains_key(&j.queue))
+        self.replicated.job(key.job).is_some_and(|j| self.advice_policies.contains_key(&j.queue))
     }
 
-    fn sought(&self, key: &StepKey, spec: &StepSpec) -> Option<Sought> {
+    fn sought(&self, key: &StepKey, spec: &StepSpec) -> Option<WorkerSelector> {
         let service = self.replicated.job(key.job)?.service.clone();
-        Some(Sought { service, label: spec.constraint.clone() })
+        Some(WorkerSelector { service, label: spec.constraint.clone() })
     }
 
     fn preempt(&mut self, worker: &WorkerId, wanted_for: &StepKey, victim: &Victim) {
         let details = format!("run={} worker={worker} for={wanted_for}", victim.run);
-        self.note(&kinds::RUN_PREEMPTED, victim.task, details);
+        self.log_event(&kinds::RUN_PREEMPTED, victim.task, details);
         self.send_stop(worker, &victim.task, victim.run);
     }
 
     fn place(
         &self,
         m: Moment,
-        reach: Reach,
+        eligibility: Eligibility,
         key: &StepKey,
         spec: &StepSpec,
         id: &WorkerId,
     ) -> Option<Place> {
-        let worker = self.suitable(m, reach, key, spec, id)?;
+        let worker = self.suitable_worker(m, eligibility, key, spec, id)?;
         if !spec.size.fits(&worker.info.capacity) {
             return None;
         }
-        let view = self.views.get(id)?;
+        let view = self.worker_views.get(id)?;
         let (victims, coming, ending) = self.sort_runs(m, key, worker, view);
-        let kept_free = self.kept_free_on(id);
-        let free = worker.free_after(&coming).minus(&kept_free);
+        let reserved_capacity = self.reserved_on(id);
+        let free = worker.free_after(&coming).minus(&reserved_capacity);
         Some(Place {
             worker: id.clone(),
             free,
-            idle: worker.free().minus(&kept_free),
+            idle: worker.free().minus(&reserved_capacity),
             victims,
             ending,
-            most: most_more(key, spec, worker),
+            most: max_additional_tasks(key, spec, worker),
             taken: 0,
             stopped: Vec::new(),
         })
@@ -275,12 +276,12 @@
         m: Moment,
         key: &StepKey,
         worker: &Worker,
-        view: &View,
+        view: &WorkerView,
     ) -> (Vec<Victim>, Size, Size) {
         let (mut victims, mut coming, mut ending) = (Vec::new(), Size::ZERO, Size::ZERO);
         let priority = self.replicated.job(key.job).map_or(0, |j| j.priority);
         let estimate = self.replicated.step_spec(key).map_or(Millis::ZERO, |s| s.estimate);
-        let stops = self.limits.mechanisms.preempts && estimate >= SHORTEST_PREEMPTOR;
+        let stops = self.limits.mechanisms.preempts && estimate >= MIN_PREEMPTOR_RUN_TIME;
         let mut spare: BTreeSet<StepKey> = BTreeSet::new();
         for (task, run) in &worker.runs {
             let Some(spec) = self.replicated.step_spec(&task.step) else { continue };
@@ -311,6 +312,6 @@
     }
 
     fn has_time_to_spare(&self, m: Moment, key: &StepKey) -> bool {
-        self.slack(m, key) >= PREEMPT_SLACK
+        self.slack(m, key) >= MIN_PREEMPTION_SLACK
     }
 }
--- a/components/dispatch/src/dispatcher.rs
+++ b/components/dispatch/src/dispatcher.rs
@@ -12,19 +12,21 @@
 };
 
 use crate::action::Action;
-use crate::advice::Desk;
+use crate::advice::AdviceScheduler;
 use crate::answer_times::AnswerTimes;
 use crate::call::Answer;
 use crate::input::{Input, Moment, Token};
-use crate::limits::{CLOCK_DRIFT_PERCENT, FORGET_EVERY, LAPSE_SLACK, LOOKS_A_MS, Limits};
+use crate::limits::{
+    CLEANUP_INTERVAL, EXAMINATIONS_PER_MS, LEASE_EXPIRY_MARGIN, Limits, MAX_CLOCK_DRIFT_PERCENT,
+};
+use crate::long_running_waits::LongRunningWaits;
 use crate::losses::RecentLosses;
 use crate::plan_state::PlanState;
 use crate::speed::StepSpeeds;
-use crate::strangers::Strangers;
-use crate::view::{Order, Stage, View};
-use crate::wait_lines::WaitLines;
-use crate::waits::LastingWaits;
-use crate::window::Window;
+use crate::step_selection::StepSelector;
+use crate::unconfigured_workers::UnconfiguredWorkers;
+use crate::wait_logging::WaitLogger;
+use crate::worker_view::{Order, Stage, WorkerView};
 
 /// What waits for a batch to be committed.
 #[derive(Clone, Debug)]
@@ -54,22 +56,22 @@
     pub(crate) reader: Arc<dyn PolicyReader>,
     pub(crate) policy: Option<Arc<Policy>>,
     /// The advice that queues need, also of those that a later configuration dropped.
-    pub(crate) advice_of: BTreeMap<Name, AdvicePolicy>,
+    pub(crate) advice_policies: BTreeMap<Name, AdvicePolicy>,
     pub(crate) replicated: ReplicatedState,
-    pub(crate) views: BTreeMap<WorkerId, View>,
+    pub(crate) worker_views: BTreeMap<WorkerId, WorkerView>,
     /// The workers that no service is known for.
-    pub(crate) strangers: Strangers,
-    pub(crate) desk: Desk,
+    pub(crate) unconfigured_workers: UnconfiguredWorkers,
+    pub(crate) advice_scheduler: AdviceScheduler,
     /// The jobs whose runs are to be looked through for some that are not wanted any more.
-    pub(crate) sweep: BTreeSet<JobId>,
+    pub(crate) jobs_to_clean_up: BTreeSet<JobId>,
     /// Where runs of a task have failed or come on too slowly.
-    pub(crate) avoid: BTreeMap<TaskKey, BTreeSet<WorkerId>>,
+    pub(crate) avoided_workers: BTreeMap<TaskKey, BTreeSet<WorkerId>>,
     /// When jobs that go on were accepted, by the clock that never jumps.
     pub(crate) accepted: BTreeMap<JobId, Millis>,
     /// The workers that have crashed of late.
     pub(crate) recent_losses: RecentLosses,
     /// How fast the tasks of steps come on.
-    pub(crate) speeds: BTreeMap<StepKey, StepSpeeds>,
+    pub(crate) step_speeds: BTreeMap<StepKey, StepSpeeds>,
     /// How long workers take to answer.
     pub(crate) answer_times: AnswerTimes,
     /// The availability zones that have just fallen silent.
@@ -83,9 +85,9 @@
     actions: Vec<Action>,
     forget_at: Millis,
     /// When a line may next tell of a call without a key.
-    pub(crate) tell_key_at: Millis,
+    pub(crate) next_key_log_at: Millis,
     /// Which of the steps that have lacked a call for long are looked at next.
-    pub(crate) aged_turn: usize,
+    pub(crate) aged_rotation: usize,
     /// When the last input came.
     moment: Moment,
     /// Whether something has happened since the last plan that may let a task start.
@@ -95,11 +97,11 @@
     /// What the plan under way, or the last one, has gone through and kept free.
     pub(crate) plan_state: PlanState,
     /// Which open steps plans look at.
-    pub(crate) window: Window,
+    pub(crate) step_selector: StepSelector,
     /// Since when tasks that last wait, as the last plan began.
-    pub(crate) waits: LastingWaits,
+    pub(crate) long_running_waits: LongRunningWaits,
     /// Which of these waits are told of, and when they were.
-    pub(crate) wait_lines: WaitLines,
+    pub(crate) wait_logger: WaitLogger,
 }
 
 impl Dispatcher {
@@ -111,16 +113,16 @@
             term,
             reader,
             policy: None,
-            advice_of: BTreeMap::new(),
+            advice_policies: BTreeMap::new(),
             replicated,
-            views: BTreeMap::new(),
-            strangers: Strangers::default(),
-            desk: Desk::of_term(term),
-            sweep: BTreeSet::new(),
-            avoid: BTreeMap::new(),
+            worker_views: BTreeMap::new(),
+            unconfigured_workers: UnconfiguredWorkers::default(),
+            advice_scheduler: AdviceScheduler::for_term(term),
+            jobs_to_clean_up: BTreeSet::new(),
+            avoided_workers: BTreeMap::new(),
             accepted: BTreeMap::new(),
             recent_losses: RecentLosses::default(),
-            speeds: BTreeMap::new(),
+            step_speeds: BTreeMap::new(),
             answer_times: AnswerTimes::unknown(),
             silent_zones: BTreeSet::new(),
             batch: Vec::new(),
@@ -129,15 +131,15 @@
             gated: VecDeque::new(),
             actions: Vec::new(),
             forget_at: m.now,
-            tell_key_at: m.now,
-            aged_turn: 0,
+            next_key_log_at: m.now,
+            aged_rotation: 0,
             moment: m,
             plan_due: true,
             plan_at: m.now,
             plan_state: PlanState::default(),
-            window: Window::default(),
-            waits: LastingWaits::default(),
-            wait_lines: WaitLines::default(),
+            step_selector: StepSelector::default(),
+            long_running_waits: LongRunningWaits::default(),
+            wait_logger: WaitLogger::default(),
         };
         d.inherit(m);
         d
@@ -150,36 +152,36 @@
             match self.reader.read(&document.text) {
                 Ok(policy) => self.set_policy(policy),
                 Err(e) => {
-                    self.note(&kinds::CONFIG_FAULTY, document.version, format!("fault={e:?}"))
+                    self.log_event(&kinds::CONFIG_FAULTY, document.version, format!("fault={e:?}"))
                 }
             }
         }
         // A leader before this one may have granted its longest lease up to now.
-        let longest = self.limits.longest_lease.plus_percent(CLOCK_DRIFT_PERCENT);
-        let lapses_at = m.now + longest + LAPSE_SLACK;
+        let longest = self.limits.max_lease.plus_percent(MAX_CLOCK_DRIFT_PERCENT);
+        let lapses_at = m.now + longest + LEASE_EXPIRY_MARGIN;
         for (id, worker) in self.replicated.workers() {
-            let mut view = View::new(m.now, lapses_at);
+            let mut view = WorkerView::new(m.now, lapses_at);
             for (task, run) in &worker.runs {
                 let order = Order {
                     run: *run,
                     stage: Stage::Inherited,
                     retry_at: None,
-                    tries: 0,
+                    attempts: 0,
                     since: m.now,
                     sent_at: m.now,
                     ticket: None,
                 };
                 view.orders.insert(*task, order);
             }
-            self.views.insert(id.clone(), view);
+            self.worker_views.insert(id.clone(), view);
         }
         let accepted_at = |j: &Job| m.now.since(m.wall.since(j.accepted_at));
         let jobs = self.replicated.jobs().iter().filter(|(_, j)| !j.state.is_final());
         self.accepted = jobs.clone().map(|(id, j)| (*id, accepted_at(j))).collect();
-        jobs.for_each(|(id, j)| self.waits.add_job(*id, &j.spec));
-        self.waits.update(m, &self.replicated);
+        jobs.for_each(|(id, j)| self.long_running_waits.add_job(*id, &j.spec));
+        self.long_running_waits.update(m, &self.replicated);
         let going_on = self.replicated.jobs().iter().filter(|(_, j)| j.placed() > 0);
-        self.sweep.extend(going_on.map(|(id, _)| *id));
+        self.jobs_to_clean_up.extend(going_on.map(|(id, _)| *id));
     }
 
     /// Takes in something that happened.
@@ -192,7 +194,7 @@
             }
             Input::Committed(batch) => self.on_committed(m, batch),
             Input::Call { token, call } => self.on_call(m, token, call),
-            Input::News(news) => self.on_news(m, news),
+            Input::Announcement(news) => self.on_announcement(m, news),
             Input::Left(worker) => self.on_left(m, &worker),
             Input::Renewed { worker, sent_at, result } => {
                 self.on_renewed(m, &worker, sent_at, result);
@@ -204,9 +206,9 @@
                 self.on_stopped(m, &worker, &task, run, result);
             }
             Input::Advised { id, valid, allowed } => {
-                self.plan_due |= self.desk.answered(m.now, id, valid, allowed);
+                self.plan_due |= self.advice_scheduler.answered(m.now, id, valid, allowed);
             }
-            Input::Helpers(helpers) => self.desk.set_helpers(helpers),
+            Input::AdviceCallers(helpers) => self.advice_scheduler.set_callers(helpers),
         }
     }
 
@@ -218,8 +220,8 @@
             self.stop_unwanted();
             if self.plan_due && m.now >= self.plan_at {
                 self.plan_due = false;
-                let looks = self.plan(m);
-                self.plan_at = m.now + Millis(looks / LOOKS_A_MS);
+                let examined = self.plan(m);
+                self.plan_at = m.now + Millis(examined / EXAMINATIONS_PER_MS);
             }
         }
         let batch = match self.batch.is_empty() {
@@ -241,7 +243,7 @@
     pub(crate) fn set_policy(&mut self, policy: Policy) {
         for queue in &policy.queues {
             if let Some(advice) = queue.advice {
-                self.advice_of.insert(queue.name.clone(), advice);
+                self.advice_policies.insert(queue.name.clone(), advice);
             }
         }
         self.policy = Some(Arc::new(policy));
@@ -250,7 +252,7 @@
     /// Adds a command to the batch and takes it for granted from here on.
     pub(crate) fn propose(&mut self, command: Command) {
         self.plan_due = true;
-        self.waits.note_change(&command, &self.replicated);
+        self.long_running_waits.record_change(&command, &self.replicated);
         self.replicated.apply(&command);
         self.batch.push(command);
     }
@@ -269,13 +271,13 @@
         self.actions.push(action);
     }
 
-    pub(crate) fn note(
+    pub(crate) fn log_event(
         &mut self,
         kind: &'static Kind,
         subject: impl std::fmt::Display,
         details: String,
     ) {
-        self.actions.push(Action::Note { kind, subject: subject.to_string(), details });
+        self.actions.push(Action::LogEvent { kind, subject: subject.to_string(), details });
     }
 
     pub(crate) fn reply_now(&mut self, token: Token, answer: Answer) {
@@ -329,29 +331,29 @@
     }
 
     fn on_tick(&mut self, m: Moment) {
-        self.desk.expire(m.now);
-        self.tend_workers(m);
+        self.advice_scheduler.expire(m.now);
+        self.maintain_workers(m);
         self.clear_suspects(m);
         if m.now >= self.forget_at {
-            self.forget_at = m.now + FORGET_EVERY;
+            self.forget_at = m.now + CLEANUP_INTERVAL;
             self.forget(m);
         }
     }
 
     /// Drops what nobody asks for any more.
     fn forget(&mut self, m: Moment) {
-        self.strangers.forget_old(m.now);
-        self.tell_torn_gangs();
-        let before = m.wall.since(self.limits.remember);
+        self.unconfigured_workers.forget_old(m.now);
+        self.log_partial_gangs();
+        let before = m.wall.since(self.limits.job_retention);
         let old = |t: Option<Millis>| t.is_some_and(|t| t < before);
         if self.replicated.jobs().values().any(|j| old(j.ended_at)) {
             self.propose(Command::Forget { before });
         }
         let replicated = &self.replicated;
         let goes_on = |id: &JobId| replicated.job(*id).is_some_and(|j| !j.state.is_final());
-        self.desk.retain(|k| goes_on(&k.job));
+        self.advice_scheduler.retain(|k| goes_on(&k.job));
         self.accepted.retain(|id, _| goes_on(id));
-        self.avoid.retain(|k, _| goes_on(&k.step.job));
-        self.speeds.retain(|k, _| goes_on(&k.job));
+        self.avoided_workers.retain(|k, _| goes_on(&k.step.job));
+        self.step_speeds.retain(|k, _| goes_on(&k.job));
     }
 }
--- a/components/dispatch/src/figures.rs
+++ b/components/dispatch/src/figures.rs
@@ -7,7 +7,7 @@
 use workload::{Organisation, TaskKey, Worker};
 
 use crate::dispatcher::Dispatcher;
-use crate::view::{Order, Stage, View};
+use crate::worker_view::{Order, Stage, WorkerView};
 
 /// What a leader has to do with, for its gauges.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -38,22 +38,22 @@
     /// without those known to wait for room.
     pub steps_without_caller: u64,
     /// The steps for which the last plan had no look left to find out whether a task could start.
-    pub steps_without_look: u64,
+    pub steps_not_examined: u64,
     /// The workers that get nothing for a while since they fail what they run.
-    pub workers_aside: u64,
+    pub quarantined_workers: u64,
     /// The tasks that last and wait for a worker.
-    pub lasting_waiting: u64,
+    pub long_running_waiting: u64,
     /// For how long the one of them waits that has waited longest.
-    pub lasting_longest_wait: Millis,
+    pub long_running_max_wait: Millis,
 }
 
 /// The same of one service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServiceFigures {
     /// The workers that get nothing for a while since they fail what they run.
-    pub workers_aside: u64,
+    pub quarantined_workers: u64,
     /// The tasks that last and wait for a worker.
-    pub lasting_waiting: u64,
+    pub long_running_waiting: u64,
 }
 
 /// The same of one organisation.
@@ -94,11 +94,11 @@
     /// Gives what there is to do at the moment.
     pub fn figures(&self) -> Figures {
         let settled = |o: &Order| matches!(o.stage, Stage::Confirmed { .. });
-        let orders = self.views.values().flat_map(|v| v.orders.values());
-        let reached = self.views.iter().filter(|(_, v)| v.in_contact);
+        let orders = self.worker_views.values().flat_map(|v| v.orders.values());
+        let reached = self.worker_views.iter().filter(|(_, v)| v.in_contact);
         let reached: Vec<&Worker> =
             reached.filter_map(|(id, _)| self.replicated.worker(id)).collect();
-        let lasting: Vec<Millis> = self.lasting_waiting().map(|(_, since)| since).collect();
+        let lasting: Vec<Millis> = self.long_running_waiting().map(|(_, since)| since).collect();
         let longest = lasting.iter().min().map_or(Millis::ZERO, |since| self.now().since(*since));
         let sum = |a: Size, b: &Size| a.plus(b);
         Figures {
@@ -106,18 +106,18 @@
             open_steps: self.replicated.open().len() as u64,
             runs: self.replicated.workers().values().map(|w| w.runs.len() as u64).sum(),
             orders_unsettled: orders.filter(|o| !settled(o)).count() as u64,
-            workers: self.views.len() as u64,
+            workers: self.worker_views.len() as u64,
             workers_in_contact: reached.len() as u64,
             capacity: reached.iter().map(|w| &w.info.capacity).fold(Size::ZERO, sum),
             used: reached.iter().map(|w| &w.used).fold(Size::ZERO, sum),
             scans: self.plan_state.scans,
-            advice_callers: self.desk.callers() as u64,
-            advice_callers_busy: self.desk.busy_callers() as u64,
+            advice_callers: self.advice_scheduler.callers() as u64,
+            advice_callers_busy: self.advice_scheduler.busy_callers() as u64,
             steps_without_caller: self.plan_state.without_caller,
-            steps_without_look: self.plan_state.without_look,
-            workers_aside: self.workers_aside().count() as u64,
-            lasting_waiting: lasting.len() as u64,
-            lasting_longest_wait: longest,
+            steps_not_examined: self.plan_state.not_examined,
+            quarantined_workers: self.quarantined_workers().count() as u64,
+            long_running_waiting: lasting.len() as u64,
+            long_running_max_wait: longest,
         }
     }
 
@@ -129,25 +129,25 @@
         for service in configured.chain(present) {
             of.entry(service.clone()).or_default();
         }
-        for worker in self.workers_aside() {
-            of.entry(worker.info.service.clone()).or_default().workers_aside += 1;
+        for worker in self.quarantined_workers() {
+            of.entry(worker.info.service.clone()).or_default().quarantined_workers += 1;
         }
-        for (task, _) in self.lasting_waiting() {
+        for (task, _) in self.long_running_waiting() {
             let Some(job) = self.replicated.job(task.step.job) else { continue };
-            of.entry(job.service.clone()).or_default().lasting_waiting += 1;
+            of.entry(job.service.clone()).or_default().long_running_waiting += 1;
         }
         of
     }
 
-    fn workers_aside(&self) -> impl Iterator<Item = &Worker> {
+    fn quarantined_workers(&self) -> impl Iterator<Item = &Worker> {
         let now = self.now();
-        let aside = move |v: &View| v.record.is_aside(now);
-        let ids = self.views.iter().filter(move |(_, v)| aside(v)).map(|(id, _)| id);
+        let aside = move |v: &WorkerView| v.health.is_quarantined(now);
+        let ids = self.worker_views.iter().filter(move |(_, v)| aside(v)).map(|(id, _)| id);
         ids.filter_map(|id| self.replicated.worker(id))
     }
 
-    fn lasting_waiting(&self) -> impl Iterator<Item = (TaskKey, Millis)> {
-        self.waits.tasks().filter(|(task, _)| self.still_waits(task))
+    fn long_running_waiting(&self) -> impl Iterator<Item = (TaskKey, Millis)> {
+        self.long_running_waits.tasks().filter(|(task, _)| self.still_waits(task))
     }
 
     /// Tells whether a task that waited as the last plan began still does.
--- a/components/dispatch/src/input.rs
+++ b/components/dispatch/src/input.rs
@@ -7,7 +7,7 @@
 use workload::{TaskKey, WorkerId};
 
 use crate::call::Call;
-use crate::order::{CallError, Report, WorkerNews};
+use crate::worker_messages::{CallError, Report, WorkerAnnouncement};
 
 /// Names a call until it is answered.
 pub type Token = u64;
@@ -38,7 +38,7 @@
         call: Call,
     },
     /// A worker announced itself.
-    News(WorkerNews),
+    Announcement(WorkerAnnouncement),
     /// A worker said that it ends now.
     Left(WorkerId),
     /// A renewal came back.
@@ -82,5 +82,5 @@
         allowed: Option<Vec<(WorkerId, Name)>>,
     },
     /// The instances that can call for advice.
-    Helpers(BTreeSet<InstanceId>),
+    AdviceCallers(BTreeSet<InstanceId>),
 }
--- a/components/dispatch/src/lib.rs
+++ b/components/dispatch/src/lib.rs
@@ -8,50 +8,50 @@
 
 mod action;
 mod advice;
+mod advice_requests;
+mod advice_reserve;
 mod aging;
 mod answer_times;
-mod asking;
 mod call;
-mod callers;
-mod causes;
+mod call_handling;
+mod candidates;
+mod capacity_reservations;
 mod dispatcher;
 mod figures;
+mod incarnations;
 mod input;
-mod lease;
 mod limits;
-mod lives;
+mod long_running_waits;
 mod losses;
-mod order;
-mod orders;
+mod order_delivery;
 mod organisations;
-mod place;
+mod partial_gangs;
 mod plan_state;
+mod planning;
 mod renewals;
-mod reserve;
-mod room;
-mod seats;
-mod sign_of_life;
-mod silence;
+mod silent_zones;
 mod slack;
 mod speed;
-mod standing;
+mod start_confirmation;
+mod step_selection;
 mod stragglers;
-mod strangers;
 mod suspects;
-mod torn_gangs;
-mod view;
-mod wait_lines;
-mod waits;
-mod window;
+mod unconfigured_workers;
+mod wait_logging;
+mod wait_reasons;
+mod worker_clock;
+mod worker_health;
+mod worker_messages;
+mod worker_view;
 mod workers;
 
 pub use action::Action;
-pub use advice::AdviceAsk;
+pub use advice::AdviceRequest;
 pub use call::{Answer, Call, Verb};
 pub use dispatcher::{Dispatcher, Setup};
 pub use figures::{Figures, OrganisationFigures, ServiceFigures};
 pub use input::{Input, Moment, Token};
 pub use limits::{Limits, Mechanisms};
-pub use order::{
-    CallError, Refusal, RenewOrder, Report, RunRow, StartOrder, StopOrder, WorkerNews,
+pub use worker_messages::{
+    CallError, Refusal, RenewOrder, Report, RunStatus, StartOrder, StopOrder, WorkerAnnouncement,
 };
--- a/components/dispatch/src/limits.rs
+++ b/components/dispatch/src/limits.rs
@@ -10,11 +10,11 @@
     /// longer one survives the time without a leader, which is one to three seconds.
     pub lease: Millis,
     /// The longest lease that an earlier leader may have granted.
-    pub longest_lease: Millis,
+    pub max_lease: Millis,
     /// How long a finished job is kept.
-    pub remember: Millis,
+    pub job_retention: Millis,
     /// How long a worker may take to stop a run.
-    pub stop_takes: Millis,
+    pub stop_time: Millis,
     /// How long a leaving worker is certain to stay if it does not announce a time.
     pub leaving_notice: Millis,
     /// The scheduling mechanisms that are enabled.
@@ -28,22 +28,22 @@
     /// Packs tasks that take accelerators onto shared workers.
     pub packs_accelerators: bool,
     /// Reserves capacity for waiting gangs and large tasks.
-    pub keeps_room: bool,
+    pub reserves_capacity: bool,
     /// Preempts runs with enough slack for waiting gangs and large tasks.
     pub preempts: bool,
     /// Places a job that must start soon to meet its deadline before more urgent jobs that have
     /// time.
-    pub heeds_slack: bool,
+    pub orders_by_slack: bool,
     /// Keeps the tasks of a job in one availability zone.
-    pub keeps_zones: bool,
+    pub colocates_jobs: bool,
     /// Moves stragglers and deprioritises slow workers.
     pub moves_stragglers: bool,
     /// Quarantines workers that fail one task after another.
-    pub sets_aside: bool,
+    pub quarantines_workers: bool,
     /// Adapts the timeout of a message to a worker to how long workers take to answer.
-    pub learns_answer_times: bool,
+    pub adapts_answer_timeouts: bool,
     /// Requests advice on later steps before they open.
-    pub asks_ahead: bool,
+    pub prefetches_advice: bool,
     /// Places no new work in availability zones that have just fallen silent.
     pub avoids_silent_zones: bool,
 }
@@ -52,14 +52,14 @@
     fn default() -> Self {
         Mechanisms {
             packs_accelerators: true,
-            keeps_room: true,
+            reserves_capacity: true,
             preempts: true,
-            heeds_slack: true,
-            keeps_zones: true,
+            orders_by_slack: true,
+            colocates_jobs: true,
             moves_stragglers: true,
-            sets_aside: true,
-            learns_answer_times: true,
-            asks_ahead: true,
+            quarantines_workers: true,
+            adapts_answer_timeouts: true,
+            prefetches_advice: true,
             avoids_silent_zones: true,
         }
     }
@@ -69,9 +69,9 @@
     fn default() -> Self {
         Limits {
             lease: Millis(5_000),
-            longest_lease: Millis(10_000),
-            remember: Millis(150_000),
-            stop_takes: Millis(200),
+            max_lease: Millis(10_000),
+            job_retention: Millis(150_000),
+            stop_time: Millis(200),
             leaving_notice: Millis(2_000),
             mechanisms: Mechanisms::default(),
         }
@@ -80,250 +80,250 @@
 
 /// By how much a worker's clock may run slow, in percent. The platform allows for two percent,
 /// which is rounded up.
-pub(crate) const CLOCK_DRIFT_PERCENT: u64 = 3;
+pub(crate) const MAX_CLOCK_DRIFT_PERCENT: u64 = 3;
 /// Added to the end of a lease before its tasks are considered gone, because stopping them takes a
 /// moment.
-pub(crate) const LAPSE_SLACK: Millis = Millis(300);
+pub(crate) const LEASE_EXPIRY_MARGIN: Millis = Millis(300);
 /// How long a renewal waits at a worker that runs something. The lease is renewed, and the progress
 /// of its tasks read, at least this often.
-const BUSY_WAIT: Millis = Millis(500);
+const MIN_BUSY_RENEWAL_WAIT: Millis = Millis(500);
 /// By how many milliseconds each worker extends that wait. The leader's processor bounds how many
 /// answers it can process in a second, and the end of a run is reported immediately whatever the
 /// wait.
-const BUSY_WAIT_PER_WORKER: u64 = 4;
+const BUSY_RENEWAL_WAIT_PER_WORKER_MS: u64 = 4;
 /// The upper bound of that wait. The lease must be renewed well before it ends.
-pub(crate) const LONGEST_BUSY_WAIT: Millis = Millis(1_500);
+pub(crate) const MAX_BUSY_RENEWAL_WAIT: Millis = Millis(1_500);
 
 /// Returns how long a renewal waits at a worker that runs something, in a fleet of `workers`
 /// workers.
-pub(crate) fn busy_wait(workers: usize) -> Millis {
-    let scaled = Millis(workers as u64 * BUSY_WAIT_PER_WORKER);
-    scaled.max(BUSY_WAIT).min(LONGEST_BUSY_WAIT)
+pub(crate) fn busy_renewal_wait(workers: usize) -> Millis {
+    let scaled = Millis(workers as u64 * BUSY_RENEWAL_WAIT_PER_WORKER_MS);
+    scaled.max(MIN_BUSY_RENEWAL_WAIT).min(MAX_BUSY_RENEWAL_WAIT)
 }
 
 /// How long a renewal waits at a worker that runs nothing: the longest wait that workers allow.
-pub(crate) const IDLE_WAIT: Millis = Millis(2_000);
+pub(crate) const IDLE_RENEWAL_WAIT: Millis = Millis(2_000);
 /// The pause before an unanswered renewal is sent again to a worker that has answered before.
-pub(crate) const RENEW_AGAIN: Millis = Millis(20);
+pub(crate) const RENEWAL_RETRY_IN_CONTACT: Millis = Millis(20);
 /// The pause before an unanswered renewal is sent again to a worker that has not answered before.
-pub(crate) const RENEW_RETRY: Millis = Millis(250);
+pub(crate) const RENEWAL_RETRY_NO_CONTACT: Millis = Millis(250);
 /// The shortest timeout for the answer to a start or stop. Answers come within some milliseconds,
 /// or some tens of milliseconds where the end of a run waits for its processor share.
-pub(crate) const SHORTEST_ANSWER: Millis = Millis(120);
+pub(crate) const MIN_ANSWER_TIMEOUT: Millis = Millis(120);
 /// The longest timeout for the answer to a start or stop, and the first one.
-pub(crate) const LONGEST_ANSWER: Millis = Millis(400);
+pub(crate) const MAX_ANSWER_TIMEOUT: Millis = Millis(400);
 /// The pause before an unanswered start or stop is sent again. A longer one lets a lost answer make
 /// its job late.
-pub(crate) const ORDER_RETRY: Millis = Millis(20);
+pub(crate) const ORDER_RETRY_DELAY: Millis = Millis(20);
 /// The number of unanswered starts after which a run is stopped instead, so that its fate becomes
 /// known.
-pub(crate) const START_TRIES: u32 = 5;
+pub(crate) const MAX_START_ATTEMPTS: u32 = 5;
 /// How long a ticket must still be valid to be used: the time of a commit and of the message to the
 /// worker.
-pub(crate) const TICKET_MARGIN: Millis = Millis(120);
+pub(crate) const MIN_TICKET_VALIDITY: Millis = Millis(120);
 /// The minimum pause between two calls for advice on one step.
-pub(crate) const ADVICE_PAUSE: Millis = Millis(60);
+pub(crate) const MIN_ADVICE_INTERVAL: Millis = Millis(60);
 /// The pause before a step is examined again after no worker was found to ask about. Scanning all
 /// workers for each of many waiting steps would take the leader's whole processor, and capacity is
 /// freed by the ends of runs, which trigger plans themselves.
-pub(crate) const NO_PROSPECTS_PAUSE: Millis = Millis(400);
+pub(crate) const NO_CANDIDATES_PAUSE: Millis = Millis(400);
 /// The minimum time for which a step without free capacity is not re-examined as one that might
 /// start. Capacity that is freed where the step holds no ticket is found this much later, while
 /// each examination scans all workers.
-pub(crate) const LOOK_FOR_ROOM_AGAIN: Millis = Millis(500);
+pub(crate) const MIN_REEXAMINE_INTERVAL: Millis = Millis(500);
 /// The maximum number of such steps that a plan re-examines: half of its scans, which leaves the
 /// other half to steps that were not examined yet.
-pub(crate) const MOST_LOOKS_AGAIN: usize = MOST_SCANS as usize / 2;
+pub(crate) const MAX_STEPS_REEXAMINED: usize = MAX_WORKER_SCANS as usize / 2;
 /// The examination budget: how many workers plans may examine per millisecond, on average. One
 /// takes about a microsecond of a whole processor, of which the leader has less than half, so that
 /// a backlog never keeps it from processing answers.
-pub(crate) const LOOKS_A_MS: u64 = 50;
+pub(crate) const EXAMINATIONS_PER_MS: u64 = 50;
 /// How many examined workers one examined waiting step counts as.
-pub(crate) const LOOKS_A_STEP: u64 = 5;
+pub(crate) const EXAMINATIONS_PER_STEP: u64 = 5;
 /// The maximum number of starts in flight to workers that answer. A start is confirmed within 50
 /// ms, so 64 suffice for 1,300 starts a second. A leader that sends more than it can process the
 /// answers to considers them lost, sends them again and processes even fewer: with 350 workers,
 /// that left 68% of a day's jobs not done.
-pub(crate) const MOST_ORDERS: usize = 200;
+pub(crate) const MAX_STARTS_IN_FLIGHT: usize = 200;
 /// The maximum number of steps for which a plan scans all workers for some to ask about. A scan of
 /// 350 workers takes most of a millisecond of a whole processor, and a backlog has hundreds of
 /// steps.
-pub(crate) const MOST_SCANS: u32 = 10;
+pub(crate) const MAX_WORKER_SCANS: u32 = 10;
 /// The factor by which a call for advice may exceed its expected time before another instance is
 /// asked.
-pub(crate) const ADVICE_LATE: f64 = 1.5;
+pub(crate) const ADVICE_OVERDUE_FACTOR: f64 = 1.5;
 /// Added to that time for the way there and back and for waits for a processor share at either end.
-pub(crate) const ADVICE_SLACK: Millis = Millis(200);
+pub(crate) const ADVICE_OVERDUE_MARGIN: Millis = Millis(200);
 /// How long a step lacks a call for advice, while half-empty workers might run it, before it is
 /// placed first. A call takes half a second, and nothing is to make no progress for three.
-pub(crate) const AGED_AFTER: Millis = Millis(1_000);
+pub(crate) const ADVICE_AGED_AFTER: Millis = Millis(1_000);
 /// The maximum number of such steps that a plan places first.
-pub(crate) const MOST_AGED: usize = 4;
+pub(crate) const MAX_AGED_STEPS: usize = 4;
 /// The maximum number of such steps for which a plan examines the half-empty workers.
-pub(crate) const MOST_LOOKS_AT_AGED: usize = 20;
+pub(crate) const MAX_AGED_STEPS_EXAMINED: usize = 20;
 /// The divisor that limits calls for such steps: at most one in this many instances is busy with
 /// them.
-pub(crate) const AGED_PART: usize = 6;
+pub(crate) const AGED_CALLERS_DIVISOR: usize = 6;
 /// The backoff of an instance whose call for advice got no answer, during which it makes no calls.
-pub(crate) const HELPER_REST: Millis = Millis(1_500);
+pub(crate) const ADVICE_CALLER_BACKOFF: Millis = Millis(1_500);
 /// The maximum number of workers in a call for advice; the service accepts no more.
-pub(crate) const ADVICE_MOST_WORKERS: usize = 100;
+pub(crate) const ADVICE_MAX_WORKERS: usize = 100;
 /// The maximum number of workers without free capacity that a long call for advice names. Work that
 /// waits for capacity needs its tickets when capacity is freed: a call takes a tenth of the time
 /// that a batch task runs, and the capacity would be idle meanwhile.
-pub(crate) const ADVICE_MOST_FULL: usize = 30;
+pub(crate) const ADVICE_MAX_FULL_WORKERS: usize = 30;
 /// The longest time of a call for advice that counts as short, in milliseconds. A short call names
 /// many workers with free capacity, since a second call would cost more than they do.
-pub(crate) const ADVICE_SHORT_MS: f64 = 60.0;
+pub(crate) const MAX_SHORT_ADVICE_MS: f64 = 60.0;
 /// How many workers a short call names if that many have capacity. Of the 28 or so of them that are
 /// allowed one is a good choice, and each further one is examined in every plan until the step is
 /// placed.
-pub(crate) const ADVICE_SHORT_WORKERS: usize = 40;
+pub(crate) const SHORT_ADVICE_WORKERS: usize = 40;
 /// How much more capacity is asked about than is needed, because advice may be stale when it
 /// arrives.
-pub(crate) const ADVICE_ROOM_FACTOR: f64 = 1.5;
+pub(crate) const ADVICE_CAPACITY_FACTOR: f64 = 1.5;
 /// The minimum number of workers that a first call names.
-pub(crate) const ADVICE_LEAST_WORKERS: usize = 10;
+pub(crate) const ADVICE_MIN_WORKERS: usize = 10;
 /// The part of a long call's fixed time that it may spend at least on the workers that it names.
-pub(crate) const ADVICE_NAMED_PART: f64 = 0.5;
+pub(crate) const ADVICE_NAMED_FRACTION: f64 = 0.5;
 /// The number of jobs with consecutive failed runs from which a worker may be quarantined.
-pub(crate) const FAILED_JOBS_IN_A_ROW: usize = 2;
+pub(crate) const MIN_FAILED_JOBS_FOR_QUARANTINE: usize = 2;
 /// The divisor that limits quarantine: at most one in this many workers of a service is quarantined
 /// at a time. Two thirds carry a usual load, and where more than a third fails what it runs the
 /// cause is rarely in the workers.
-pub(crate) const MOST_ASIDE_PART: usize = 3;
+pub(crate) const MAX_QUARANTINED_DIVISOR: usize = 3;
 /// How long a worker's failures count without another failure, from the end of its last quarantine.
 /// It exceeds the run time of the longest tasks that are not long-running, so that a worker that
 /// fails all of these is found.
-pub(crate) const FAILS_FADE: Millis = Millis(15_000);
+pub(crate) const FAILURE_RETENTION: Millis = Millis(15_000);
 /// How long after its last failure a quarantined worker gets a try where no other worker is left. A
 /// run that fails does so immediately, and an answer takes tenths of a second.
-pub(crate) const TRY_AGAIN: Millis = Millis(1_000);
+pub(crate) const QUARANTINE_RETRY: Millis = Millis(1_000);
 /// The maximum wait of a long-running task among other work before it is placed first. A call for
 /// advice takes half a second of it. Long-running tasks are few beside the others, which this
 /// delays by a tenth of a second.
-pub(crate) const LASTING_PATIENCE: Millis = Millis(1_000);
+pub(crate) const MAX_LONG_RUNNING_WAIT: Millis = Millis(1_000);
 /// The same maximum wait for a task that has never run. Nothing is lost by its wait yet, so it
 /// waits among the others for as long as its first start may take and still meet the deadline. On a
 /// fleet with a quarter more demand than capacity, new long-running tasks would otherwise be placed
 /// before all quick jobs.
-pub(crate) const FIRST_RUN_PATIENCE: Millis = Millis(4_000);
+pub(crate) const MAX_FIRST_RUN_WAIT: Millis = Millis(4_000);
 /// The maximum number of steps with overdue tasks that a plan places first: half of those that it
 /// reserves capacity for.
-pub(crate) const MOST_OWED: usize = MOST_ROOMS_MADE as usize / 2;
+pub(crate) const MAX_OVERDUE_STEPS: usize = MAX_RESERVATIONS as usize / 2;
 /// The number of examined workers after which a plan reserves no more capacity for such steps: the
 /// examination budget of 40 ms.
-pub(crate) const MOST_LOOKS_FOR_OWED: u64 = LOOKS_A_MS * 40;
+pub(crate) const OVERDUE_EXAMINATION_BUDGET: u64 = EXAMINATIONS_PER_MS * 40;
 /// How long each of these steps keeps its turn if there are more of them; half of them change at
 /// the end of a turn. Capacity is freed by the end of a quick task, and a call for advice takes
 /// half a second.
-pub(crate) const OWED_TURN: Millis = Millis(1_000);
+pub(crate) const OVERDUE_ROTATION_INTERVAL: Millis = Millis(1_000);
 /// How long a worker is quarantined the first time. It is doubled each further time.
-pub(crate) const SET_ASIDE: Millis = Millis(4_000);
+pub(crate) const QUARANTINE_TIME: Millis = Millis(4_000);
 /// The maximum number of doublings. Without a try nothing shows that a worker is healthy again, and
 /// a job may be able to run nowhere else.
-pub(crate) const MOST_DOUBLINGS: u32 = 1;
+pub(crate) const MAX_QUARANTINE_DOUBLINGS: u32 = 1;
 /// The divisor of the largest worker's capacity from which a task counts as large, so that capacity
 /// is reserved for it. A smaller task fits into what the end of any run frees.
-pub(crate) const LARGE_PART: u64 = 4;
+pub(crate) const LARGE_TASK_DIVISOR: u64 = 4;
 /// The maximum number of steps waiting for the same workers for which a plan reserves capacity.
 /// Each scans all workers, and later steps rarely find one that is not reserved already.
-pub(crate) const MOST_ROOMS_MADE: u32 = 20;
+pub(crate) const MAX_RESERVATIONS: u32 = 20;
 /// The divisor that limits idle reserved capacity: one in this many parts of the capacity of all
 /// eligible workers. With a quarter, a fleet that is less than half full has as much again for
 /// other work.
-pub(crate) const MOST_KEPT_PART: u64 = 4;
+pub(crate) const MAX_RESERVED_DIVISOR: u64 = 4;
 /// The slack that a job must have for one of its runs to be preempted: the stop, a call for advice,
 /// the restart from its checkpoint, and a wait for capacity as long as a batch task runs.
-pub(crate) const PREEMPT_SLACK: Millis = Millis(9_000);
+pub(crate) const MIN_PREEMPTION_SLACK: Millis = Millis(9_000);
 /// The minimum run time of a task for which others are preempted. The stop, its end and the start
 /// behind it take half a second, in which capacity is freed by itself for quicker tasks. Without
 /// this minimum, quick tasks had 20 runs a second stopped at 80% load and were late as often.
-pub(crate) const SHORTEST_PREEMPTOR: Millis = Millis(1_500);
+pub(crate) const MIN_PREEMPTOR_RUN_TIME: Millis = Millis(1_500);
 /// The slack below which a waiting job is placed before more urgent ones that have more: the time
 /// of a call for advice, a commit and the wait for a stop.
-pub(crate) const LAST_CALL: Millis = Millis(2_000);
+pub(crate) const MAX_URGENT_SLACK: Millis = Millis(2_000);
 /// The backoff of an unhealthy or full worker, during which it gets no work.
-pub(crate) const REST: Millis = Millis(700);
+pub(crate) const WORKER_BACKOFF: Millis = Millis(700);
 /// The minimum time over which the speed of a run is measured.
-pub(crate) const SPEED_WINDOW: Millis = Millis(250);
+pub(crate) const MIN_SPEED_WINDOW: Millis = Millis(250);
 /// How long a run must make no progress at all to count as stalled. Progress is reported in whole
 /// percent, which takes the longest runs a tenth of a second each.
-pub(crate) const STANDSTILL: Millis = Millis(700);
+pub(crate) const NO_PROGRESS_WINDOW: Millis = Millis(700);
 /// By what factor the remaining time of a run must exceed that elsewhere for the run to be moved.
 /// The run times of a step's tasks differ by up to a third.
 pub(crate) const STRAGGLER_FACTOR: f64 = 2.0;
 /// The minimum age of a run that is moved, as the first part of a run may be slow.
-pub(crate) const YOUNGEST_STRAGGLER: Millis = Millis(600);
+pub(crate) const MIN_STRAGGLER_AGE: Millis = Millis(600);
 /// The minimum number of other workers that must run a step to determine its expected speed.
-pub(crate) const FEWEST_OTHERS: usize = 2;
+pub(crate) const MIN_COMPARED_WORKERS: usize = 2;
 /// The cost of moving a run besides the stop: two commits and often a call for advice.
 pub(crate) const MOVE_COST: Millis = Millis(300);
 /// The maximum number of times that a task is moved. A task that is slow on all these workers is
 /// slow itself.
-pub(crate) const MOST_MOVES: usize = 2;
+pub(crate) const MAX_MOVES_PER_TASK: usize = 2;
 /// The fraction of the speed elsewhere, over all its runs, below which a worker counts as slow.
-pub(crate) const SLOW_SHARE: f64 = 0.4;
+pub(crate) const SLOW_WORKER_SPEED_RATIO: f64 = 0.4;
 /// How long a slow worker gets no new work.
-pub(crate) const SLOW_REST: Millis = Millis(2_500);
+pub(crate) const SLOW_WORKER_BACKOFF: Millis = Millis(2_500);
 /// How long a worker that runs nothing is silent before it is forgotten.
-pub(crate) const FORGET_WORKER: Millis = Millis(20_000);
+pub(crate) const SILENT_WORKER_RETENTION: Millis = Millis(20_000);
 /// How long a run counts as young, that is, may still crash its worker. Tasks that crash their
 /// workers do so as they start or at their first checkpoint, and an end is known half a second
 /// later.
-pub(crate) const YOUNG_RUN: Millis = Millis(2_000);
+pub(crate) const MAX_YOUNG_RUN_AGE: Millis = Millis(2_000);
 /// How long a run survives to clear its task of earlier crashes: longer than all but long-running
 /// tasks run. The job of a task that crashes its worker later than that is not given up, and the
 /// task takes a worker down twice a minute at most.
-pub(crate) const CLEARED_AFTER: Millis = Millis(30_000);
+pub(crate) const SUSPECT_CLEARED_AFTER: Millis = Millis(30_000);
 /// The maximum time between workers that fall silent together. A renewal that waits shows a network
 /// cut up to two seconds later than a start or stop does.
-pub(crate) const TOGETHER: Millis = Millis(2_500);
+pub(crate) const SIMULTANEOUS_SILENCE_WINDOW: Millis = Millis(2_500);
 /// The divisor of all workers that must fall silent together: at least one in this many. Some fall
 /// silent at any time in a large fleet.
-pub(crate) const TOGETHER_ONE_IN: usize = 100;
+pub(crate) const SIMULTANEOUS_SILENCE_DIVISOR: usize = 100;
 /// The maximum fraction of all workers that faulty tasks take down in a second, as each is
 /// identified after three or four.
-pub(crate) const MOST_BY_TASKS_A_SECOND: f64 = LOST_TOGETHER_A_SECOND / 2.0;
+pub(crate) const MAX_LOST_TO_TASKS_PER_SECOND: f64 = MIN_LOST_TOGETHER_PER_SECOND / 2.0;
 /// The minimum fraction of all workers lost per second, while they are being lost together, that
 /// indicates another cause than faulty tasks. Each faulty task is identified after three or four
 /// workers, which are down for seconds each time.
-pub(crate) const LOST_TOGETHER_A_SECOND: f64 = 0.4;
+pub(crate) const MIN_LOST_TOGETHER_PER_SECOND: f64 = 0.4;
 /// The bounds of the time between two losses that count as coincident. Processing hundreds of
 /// broken connections takes milliseconds, and machines that go down for one reason do so within a
 /// tenth of a second of each other.
-pub(crate) const LOST_TOGETHER_GAP: (Millis, Millis) = (Millis(15), Millis(100));
+pub(crate) const LOST_TOGETHER_GAP_RANGE: (Millis, Millis) = (Millis(15), Millis(100));
 /// How long losses count towards the rate at which workers are lost.
 pub(crate) const LOSS_RATE_WINDOW: Millis = Millis(5_000);
 /// The minimum probability that a run's worker is lost at the observed rate of losses for that rate
 /// to excuse the loss. Below it a fault is the likelier cause.
-pub(crate) const LIKELY_HIT: f64 = 0.5;
+pub(crate) const MIN_CHANCE_TO_EXCUSE: f64 = 0.5;
 /// The probability that chance has hit a run at which the loss of its worker counts fully against
 /// it.
-pub(crate) const SURELY_NOT_BY_CHANCE: f64 = 0.01;
+pub(crate) const MAX_CHANCE_FOR_FULL_WEIGHT: f64 = 0.01;
 /// The minimum number of tasks that crashed their workers for a step to count as faulty as a whole.
 /// With fewer, starting them all takes down at most as many workers, and no healthy job is delayed
 /// by the check.
-pub(crate) const FEWEST_SUSPECTS: usize = 4;
+pub(crate) const MIN_SUSPECTS_FOR_FAULTY_STEP: usize = 4;
 /// The minimum age of a run, by an answer of its worker, for other tasks of a faulty step to be
 /// started beside it. Most tasks that crash their workers do so within milliseconds. Waiting until
 /// the run is no longer young would delay a healthy step of five tasks by six seconds; a step whose
 /// tasks all crash their workers after a second loses one or two more.
-pub(crate) const SEEMS_WELL: Millis = Millis(500);
+pub(crate) const SEEMS_HEALTHY_AGE: Millis = Millis(500);
 /// The maximum number of runs on workers out of contact that other tasks of a faulty step need not
 /// wait for. A worker that vanishes without breaking its connections may have crashed all the same,
 /// which is known when its lease is over, five seconds later; a faulty step takes down four workers
 /// in that time at most.
-pub(crate) const MOST_UNHEARD: usize = 3;
+pub(crate) const MAX_RUNS_OUT_OF_CONTACT: usize = 3;
 /// The interval at which jobs that ended long ago are dropped.
-pub(crate) const FORGET_EVERY: Millis = Millis(5_000);
+pub(crate) const CLEANUP_INTERVAL: Millis = Millis(5_000);
 /// How long a long-running task waits before its wait is logged.
-pub(crate) const LONG_WAIT: Millis = Millis(2_000);
+pub(crate) const MIN_LOGGED_WAIT: Millis = Millis(2_000);
 /// The minimum interval between two wait log lines for one step.
-pub(crate) const WAIT_TOLD_AGAIN: Millis = Millis(5_000);
+pub(crate) const WAIT_LOG_INTERVAL: Millis = Millis(5_000);
 /// The maximum number of wait log lines per second. Each examines all workers.
-pub(crate) const MOST_WAIT_LINES: usize = 5;
+pub(crate) const MAX_WAIT_LINES_PER_SECOND: usize = 5;
 /// The minimum interval between log lines about calls that show no organisation's key.
-pub(crate) const KEY_TOLD_AGAIN: Millis = Millis(1_000);
+pub(crate) const KEY_REFUSED_LOG_INTERVAL: Millis = Millis(1_000);
 /// When callers that could not be served are told to retry.
-pub(crate) const COME_BACK: Millis = Millis(300);
+pub(crate) const CALLER_RETRY_AFTER: Millis = Millis(300);
--- a/components/dispatch/src/waits.rs
+++ b/components/dispatch/src/long_running_waits.rs
@@ -9,7 +9,7 @@
 use workload::{Command, Job, JobId, JobSpec, OpenStep, ReplicatedState, StepKey, TaskKey};
 
 use crate::input::Moment;
-use crate::limits::{FIRST_RUN_PATIENCE, LASTING_PATIENCE};
+use crate::limits::{MAX_FIRST_RUN_WAIT, MAX_LONG_RUNNING_WAIT};
 
 /// The waiting tasks of one step, by their index in the step.
 type Waiting = BTreeMap<u32, Wait>;
@@ -24,8 +24,8 @@
 
 impl Wait {
     /// Returns when the task becomes overdue.
-    fn is_owed_from(&self) -> Millis {
-        self.since + if self.has_run { LASTING_PATIENCE } else { FIRST_RUN_PATIENCE }
+    fn overdue_from(&self) -> Millis {
+        self.since + if self.has_run { MAX_LONG_RUNNING_WAIT } else { MAX_FIRST_RUN_WAIT }
     }
 }
 
@@ -33,7 +33,7 @@
 /// finds the task without a run, or when this leader takes over, and ends when the task is assigned
 /// to a worker. Rounds that are not due and steps that other steps hold back do not wait.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct LastingWaits {
+pub(crate) struct LongRunningWaits {
     /// The long-running steps of unfinished jobs, by their index in the job.
     jobs: BTreeMap<JobId, Vec<u32>>,
     /// The jobs of these that have rounds: a round becomes due without any change.
@@ -43,7 +43,7 @@
     waiting: BTreeMap<StepKey, Waiting>,
 }
 
-impl LastingWaits {
+impl LongRunningWaits {
     /// Adds an unfinished job, if any of its steps is long-running.
     pub(crate) fn add_job(&mut self, id: JobId, spec: &JobSpec) {
         let lasting = (0..).zip(&spec.steps).filter(|(_, s)| s.long_running);
@@ -60,7 +60,7 @@
 
     /// Records which jobs a command changes. Must be called before the command is applied to the
     /// replicated state.
-    pub(crate) fn note_change(&mut self, command: &Command, replicated: &ReplicatedState) {
+    pub(crate) fn record_change(&mut self, command: &Command, replicated: &ReplicatedState) {
         match command {
             Command::Submit { id, spec, .. } => self.add_job(*id, spec),
             Command::Cancel { id, .. } => self.note_changed(*id),
@@ -153,16 +153,16 @@
     }
 
     /// Returns the steps with overdue tasks, and when the first of each became overdue.
-    pub(crate) fn owed_steps(&self, now: Millis) -> impl Iterator<Item = (&StepKey, Millis)> {
-        let first = |waiting: &Waiting| waiting.values().map(Wait::is_owed_from).min();
+    pub(crate) fn overdue_steps(&self, now: Millis) -> impl Iterator<Item = (&StepKey, Millis)> {
+        let first = |waiting: &Waiting| waiting.values().map(Wait::overdue_from).min();
         let steps = self.waiting.iter().filter_map(move |(key, w)| Some((key, first(w)?)));
         steps.filter(move |(_, from)| *from <= now)
     }
 
     /// Returns whether a task is overdue.
-    pub(crate) fn is_owed(&self, now: Millis, task: &TaskKey) -> bool {
+    pub(crate) fn is_overdue(&self, now: Millis, task: &TaskKey) -> bool {
         let wait = self.waiting.get(&task.step).and_then(|w| w.get(&task.index));
-        wait.is_some_and(|w| w.is_owed_from() <= now)
+        wait.is_some_and(|w| w.overdue_from() <= now)
     }
 
     /// Returns the waiting tasks, and since when.
--- a/components/dispatch/src/losses.rs
+++ b/components/dispatch/src/losses.rs
@@ -12,33 +12,33 @@
 use workload::{FULL_WEIGHT, JobId};
 
 use crate::limits::{
-    LIKELY_HIT, LONGEST_BUSY_WAIT, LOSS_RATE_WINDOW, LOST_TOGETHER_A_SECOND, LOST_TOGETHER_GAP,
-    MOST_BY_TASKS_A_SECOND, SURELY_NOT_BY_CHANCE,
+    LOSS_RATE_WINDOW, LOST_TOGETHER_GAP_RANGE, MAX_BUSY_RENEWAL_WAIT, MAX_CHANCE_FOR_FULL_WEIGHT,
+    MAX_LOST_TO_TASKS_PER_SECOND, MIN_CHANCE_TO_EXCUSE, MIN_LOST_TOGETHER_PER_SECOND,
 };
 
 /// How well it is known when a worker was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Known {
+pub(crate) enum LossDetection {
     /// Its connections broke at once.
-    AtOnce,
+    ConnectionBroken,
     /// A call to it ran into its time limit, at some time after it was lost.
-    ByTimeLimit,
+    TimedOut,
     /// It was gone when this leader first called it.
     BeforeTerm,
 }
 
 /// When a worker was lost.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct LostAt {
+pub(crate) struct LossTime {
     /// Since when nothing was heard of it.
     pub(crate) silent_since: Millis,
-    pub(crate) known: Known,
+    pub(crate) detection: LossDetection,
 }
 
 /// The loss of another worker, as seen from a run whose own is lost.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OtherLoss {
-    pub(crate) at: LostAt,
+    pub(crate) at: LossTime,
     /// Whether anything of the run's job was there, so that it may be the fault of that, too.
     pub(crate) is_related: bool,
 }
@@ -46,7 +46,7 @@
 /// A worker that is lost.
 #[derive(Clone, Debug)]
 struct Loss {
-    at: LostAt,
+    at: LossTime,
     service: Name,
     /// The jobs that had runs there.
     jobs: BTreeSet<JobId>,
@@ -59,7 +59,7 @@
     pub(crate) service: Name,
     pub(crate) began: Millis,
     /// When its worker was lost.
-    pub(crate) at: LostAt,
+    pub(crate) at: LossTime,
     /// How many workers its task is on: more than one if it is a gang's.
     pub(crate) workers: usize,
 }
@@ -71,16 +71,16 @@
     pub(crate) fn weight(&self, others: &[OtherLoss], among: usize) -> u16 {
         let unrelated = others.iter().filter(|o| !o.is_related).count();
         let among = among.max(unrelated).max(1) as f64;
-        let share = match self.at.known {
-            Known::AtOnce => share_of(self.lost_in_a_row(others, among), among),
-            Known::ByTimeLimit => share_of(self.lost_silently(others), among),
-            Known::BeforeTerm => return FULL_WEIGHT,
+        let share = match self.at.detection {
+            LossDetection::ConnectionBroken => share_of(self.lost_in_a_row(others, among), among),
+            LossDetection::TimedOut => share_of(self.lost_silently(others), among),
+            LossDetection::BeforeTerm => return FULL_WEIGHT,
         };
         let together = chance(share, self.workers);
         let by_rate = chance(self.share_lost_meanwhile(others, among), self.workers);
-        let by_rate = if by_rate >= LIKELY_HIT { by_rate } else { 0.0 };
+        let by_rate = if by_rate >= MIN_CHANCE_TO_EXCUSE { by_rate } else { 0.0 };
         let chance = together.max(by_rate).max(f64::MIN_POSITIVE);
-        let weight = (chance.ln() / SURELY_NOT_BY_CHANCE.ln()).clamp(0.0, 1.0);
+        let weight = (chance.ln() / MAX_CHANCE_FOR_FULL_WEIGHT.ln()).clamp(0.0, 1.0);
         (weight * f64::from(FULL_WEIGHT)).round() as u16
     }
 
@@ -88,7 +88,7 @@
     /// workers down.
     fn lost_in_a_row(&self, others: &[OtherLoss], among: f64) -> usize {
         let longest = longest_gap(among);
-        let at_once = others.iter().filter(|o| o.at.known == Known::AtOnce);
+        let at_once = others.iter().filter(|o| o.at.detection == LossDetection::ConnectionBroken);
         let (mut before, mut after): (Vec<OtherLoss>, Vec<OtherLoss>) =
             at_once.partition(|o| o.at.silent_since <= self.at.silent_since);
         before.sort_unstable_by_key(|o| Reverse(o.at.silent_since));
@@ -100,9 +100,10 @@
     /// Gives how many unrelated workers fell silent without a broken connection, as machines do that lose power or are cut
     /// off, within the time that renewals take to show it.
     fn lost_silently(&self, others: &[OtherLoss]) -> usize {
-        let by_limit = others.iter().filter(|o| o.at.known == Known::ByTimeLimit && !o.is_related);
+        let by_limit =
+            others.iter().filter(|o| o.at.detection == LossDetection::TimedOut && !o.is_related);
         by_limit
-            .filter(|o| apart(o.at.silent_since, self.at.silent_since) <= LONGEST_BUSY_WAIT)
+            .filter(|o| apart(o.at.silent_since, self.at.silent_since) <= MAX_BUSY_RENEWAL_WAIT)
             .count()
     }
 
@@ -131,14 +132,14 @@
         return 0.0;
     }
     let both_sides = 2.0 * longest_gap(among).0 as f64 / 1_000.0;
-    let coincide = (among * MOST_BY_TASKS_A_SECOND * both_sides).min(1.0);
+    let coincide = (among * MAX_LOST_TO_TASKS_PER_SECOND * both_sides).min(1.0);
     (lost as f64 - coincide) / (among - coincide).max(1.0)
 }
 
 /// Gives the longest time between two losses that come together, among so many workers.
 fn longest_gap(among: f64) -> Millis {
-    let (shortest, longest) = LOST_TOGETHER_GAP;
-    let gap = Millis((1_000.0 / (among * LOST_TOGETHER_A_SECOND)) as u64);
+    let (shortest, longest) = LOST_TOGETHER_GAP_RANGE;
+    let gap = Millis((1_000.0 / (among * MIN_LOST_TOGETHER_PER_SECOND)) as u64);
     gap.max(shortest).min(longest)
 }
 
@@ -162,7 +163,7 @@
 
 impl RecentLosses {
     /// Notes a worker that is lost, with the jobs that had runs there.
-    pub(crate) fn note(&mut self, at: LostAt, service: Name, jobs: BTreeSet<JobId>) {
+    pub(crate) fn record(&mut self, at: LossTime, service: Name, jobs: BTreeSet<JobId>) {
         let since = |l: &Loss| at.silent_since.since(l.at.silent_since);
         self.0.retain(|l| since(l) < LOSS_RATE_WINDOW);
         self.0.push_back(Loss { at, service, jobs });
--- a/components/dispatch/src/orders.rs
+++ b/components/dispatch/src/order_delivery.rs
@@ -12,35 +12,35 @@
 use crate::action::Action;
 use crate::dispatcher::Dispatcher;
 use crate::input::Moment;
-use crate::limits::{ORDER_RETRY, REST, SHORTEST_ANSWER, START_TRIES};
-use crate::order::{CallError, Refusal, StartOrder, StopOrder};
-use crate::view::{Order, Stage};
-use crate::workers::LifeEnd;
+use crate::limits::{MAX_START_ATTEMPTS, MIN_ANSWER_TIMEOUT, ORDER_RETRY_DELAY, WORKER_BACKOFF};
+use crate::worker_messages::{CallError, Refusal, StartOrder, StopOrder};
+use crate::worker_view::{Order, Stage};
+use crate::workers::IncarnationEnd;
 
 impl Dispatcher {
     /// Gives how many starts are on their way to workers that answer.
-    pub(crate) fn orders_under_way(&self) -> usize {
-        let reached = self.views.values().filter(|v| v.in_contact);
+    pub(crate) fn starts_in_flight(&self) -> usize {
+        let reached = self.worker_views.values().filter(|v| v.in_contact);
         let orders = reached.flat_map(|v| v.orders.values());
         orders.filter(|o| matches!(o.stage, Stage::Held | Stage::Starting)).count()
     }
 
     pub(crate) fn resend_orders(&mut self, m: Moment, id: &WorkerId) {
-        let Some(view) = self.views.get(id).filter(|v| v.in_contact) else { return };
+        let Some(view) = self.worker_views.get(id).filter(|v| v.in_contact) else { return };
         let leaving = view.leaving;
         let due = |o: &Order| o.retry_at.is_some_and(|t| m.now >= t);
         let again: Vec<(TaskKey, u32, Stage, u32)> = view
             .orders
             .iter()
             .filter(|(_, o)| due(o))
-            .map(|(k, o)| (*k, o.run, o.stage, o.tries))
+            .map(|(k, o)| (*k, o.run, o.stage, o.attempts))
             .collect();
-        for (task, run, stage, tries) in again {
+        for (task, run, stage, attempts) in again {
             let starting = stage == Stage::Starting;
             let may_start = !leaving && !self.is_over_limit(task.step.job);
             if starting && !self.replicated.is_wanted(&task, run) {
                 self.stop_unwanted_start(id, &task, run);
-            } else if starting && tries < START_TRIES && may_start {
+            } else if starting && attempts < MAX_START_ATTEMPTS && may_start {
                 self.order_start(m, id, &task, run);
             } else {
                 // A worker that is leaving must not be told to start anything, not even once more, and an
@@ -53,17 +53,26 @@
     /// Stops a start that got no answer and is not wanted any more, once what made it unwanted is committed:
     /// a leader that loses the cancel would go on with the run.
     fn stop_unwanted_start(&mut self, id: &WorkerId, task: &TaskKey, run: u32) {
-        let orders = self.views.get_mut(id).map(|v| &mut v.orders);
+        let orders = self.worker_views.get_mut(id).map(|v| &mut v.orders);
         if let Some(order) = orders.and_then(|o| o.get_mut(task)) {
             order.retry_at = None;
         }
         self.stop_when_committed(id.clone(), *task, run);
     }
 
-    pub(crate) fn never_started(&mut self, id: &WorkerId, runs: Vec<(TaskKey, u32)>, why: &str) {
+    pub(crate) fn propose_not_started(
+        &mut self,
+        id: &WorkerId,
+        runs: Vec<(TaskKey, u32)>,
+        why: &str,
+    ) {
         for (task, run) in &runs {
-            self.sweep.insert(task.step.job);
-            self.note(&kinds::RUN_NOT_STARTED, task, format!("run={run} worker={id} why={why:?}"));
+            self.jobs_to_clean_up.insert(task.step.job);
+            self.log_event(
+                &kinds::RUN_NOT_STARTED,
+                task,
+                format!("run={run} worker={id} why={why:?}"),
+            );
         }
         self.propose(Command::NotStarted { worker: id.clone(), runs });
     }
@@ -73,8 +82,8 @@
         let wanted = self.replicated.is_wanted(task, run);
         let over_room = self.replicated.worker(id).is_some_and(Worker::is_overcommitted);
         let over_limit = self.is_over_limit(task.step.job);
-        let Some(view) = self.views.get_mut(id) else { return };
-        let usable = view.in_contact && !view.leaving && view.reading.is_some();
+        let Some(view) = self.worker_views.get_mut(id) else { return };
+        let usable = view.in_contact && !view.leaving && view.clock_reading.is_some();
         let Some(order) = view.orders.get(task).filter(|o| o.run == run) else { return };
         if order.stage != Stage::Held {
             return;
@@ -87,26 +96,26 @@
                 (true, false) if over_limit => "the organisation's limit was lowered",
                 (true, false) => "the worker is not usable",
             };
-            self.never_started(id, vec![(*task, run)], why);
+            self.propose_not_started(id, vec![(*task, run)], why);
             return;
         }
         self.order_start(m, id, task, run);
     }
 
     fn order_start(&mut self, m: Moment, id: &WorkerId, task: &TaskKey, run: u32) {
-        if !self.send_start_again(m, id, task, run) {
+        if !self.resend_start(m, id, task, run) {
             return;
         }
-        let order = self.views.get_mut(id).and_then(|v| v.orders.get_mut(task));
+        let order = self.worker_views.get_mut(id).and_then(|v| v.orders.get_mut(task));
         if let Some(order) = order {
             order.stage = Stage::Starting;
-            order.tries += 1;
+            order.attempts += 1;
             order.retry_at = None;
         }
     }
 
     /// Sends the start of a run, whether or not it was confirmed before; tells whether that could be done.
-    pub(crate) fn send_start_again(
+    pub(crate) fn resend_start(
         &mut self,
         m: Moment,
         id: &WorkerId,
@@ -129,14 +138,14 @@
         let spec = self.replicated.job(task.step.job)?.spec.spec.clone();
         let checkpoint = self.replicated.task(task)?.checkpoint.clone();
         let (fence, span) = (self.term, self.limits.lease);
-        let answer_within = self.answer_times.limit();
-        let view = self.views.get_mut(id)?;
-        let deadline = view.grant(m.now, span)?;
+        let answer_timeout = self.answer_times.limit();
+        let view = self.worker_views.get_mut(id)?;
+        let deadline = view.grant_lease(m.now, span)?;
         let order = view.orders.get_mut(task)?;
         order.sent_at = m.now;
         let (task, ticket) = (*task, order.ticket.clone());
         let order =
-            StartOrder { task, run, spec, deadline, fence, checkpoint, ticket, answer_within };
+            StartOrder { task, run, spec, deadline, fence, checkpoint, ticket, answer_timeout };
         Some((address, order))
     }
 
@@ -149,36 +158,36 @@
         run: u32,
         result: Result<Millis, CallError>,
     ) {
-        let Some(view) = self.views.get_mut(id) else { return };
+        let Some(view) = self.worker_views.get_mut(id) else { return };
         if let Ok(clock) = result {
-            view.read_clock(m.now, clock);
+            view.record_clock(m.now, clock);
         }
         let Some(order) = view.orders.get_mut(task).filter(|o| o.run == run) else { return };
         if order.stage != Stage::Starting {
             return;
         }
-        let first = order.tries == 1;
-        if self.limits.mechanisms.learns_answer_times {
-            self.answer_times.note(m.now.since(order.sent_at));
+        let first = order.attempts == 1;
+        if self.limits.mechanisms.adapts_answer_timeouts {
+            self.answer_times.record(m.now.since(order.sent_at));
         }
         match result {
             Ok(_) => order.stage = Stage::Confirmed { at: m.now },
             Err(CallError::NotSent(why)) if first => {
                 // Where nothing can be sent just now, another worker does better.
                 view.orders.remove(task);
-                view.record.rest(m.now + REST);
-                self.never_started(id, vec![(*task, run)], &format!("not sent: {why}"));
+                view.health.back_off(m.now + WORKER_BACKOFF);
+                self.propose_not_started(id, vec![(*task, run)], &format!("not sent: {why}"));
             }
             Err(e @ (CallError::Silent(_) | CallError::NotSent(_) | CallError::Named(_))) => {
-                order.retry_at = Some(m.now + ORDER_RETRY);
-                let details = format!("run={run} worker={id} tries={} why={e:?}", order.tries);
+                order.retry_at = Some(m.now + ORDER_RETRY_DELAY);
+                let details = format!("run={run} worker={id} tries={} why={e:?}", order.attempts);
                 // No order is given up earlier, however quickly workers answer.
-                let due = order.sent_at + SHORTEST_ANSWER;
-                view.note_silence(m.now, due);
-                self.note(&kinds::ORDER_UNANSWERED, task, details);
+                let due = order.sent_at + MIN_ANSWER_TIMEOUT;
+                view.record_silence(m.now, due);
+                self.log_event(&kinds::ORDER_UNANSWERED, task, details);
             }
             Err(CallError::Refused(Refusal::OtherLife)) => {
-                self.worker_gone(id, LifeEnd::OtherLife);
+                self.worker_gone(id, IncarnationEnd::Replaced);
             }
             // It ran and has ended, or was stopped: the next report tells which.
             Err(CallError::Refused(Refusal::Outdated)) => {
@@ -187,7 +196,7 @@
             Err(CallError::Refused(why)) if first => {
                 view.orders.remove(task);
                 self.start_refused(m, id, task, why);
-                self.never_started(id, vec![(*task, run)], &format!("refused: {why:?}"));
+                self.propose_not_started(id, vec![(*task, run)], &format!("refused: {why:?}"));
             }
             // An earlier try may yet be carried out; a stop keeps it out for good.
             Err(CallError::Refused(_)) => self.send_stop(id, task, run),
@@ -195,11 +204,11 @@
     }
 
     fn start_refused(&mut self, m: Moment, id: &WorkerId, task: &TaskKey, why: Refusal) {
-        let Some(view) = self.views.get_mut(id) else { return };
+        let Some(view) = self.worker_views.get_mut(id) else { return };
         match why {
-            Refusal::Ticket => self.desk.drop_ticket(&task.step, id),
+            Refusal::Ticket => self.advice_scheduler.drop_ticket(&task.step, id),
             Refusal::Room | Refusal::Unhealthy | Refusal::Malformed => {
-                view.record.rest(m.now + REST);
+                view.health.back_off(m.now + WORKER_BACKOFF);
             }
             Refusal::Fence => view.in_contact = false,
             Refusal::Late | Refusal::Outdated | Refusal::OtherLife => {}
@@ -210,22 +219,28 @@
     pub(crate) fn send_stop(&mut self, id: &WorkerId, task: &TaskKey, run: u32) {
         let Some(worker) = self.replicated.worker(id) else { return };
         let address = worker.info.address.clone();
-        let Some(view) = self.views.get_mut(id) else { return };
+        let Some(view) = self.worker_views.get_mut(id) else { return };
         let Some(order) = view.orders.get_mut(task).filter(|o| o.run == run) else { return };
         if order.stage == Stage::Held {
             view.orders.remove(task);
-            self.never_started(id, vec![(*task, run)], "not wanted any more");
+            self.propose_not_started(id, vec![(*task, run)], "not wanted any more");
             return;
         }
         order.stage = Stage::Stopping;
         order.retry_at = None;
-        self.order_stop(id, address, *task, run);
+        self.send_stop_order(id, address, *task, run);
     }
 
     /// Has a stop sent, of a run that the log knows or of one that only its worker lists.
-    pub(crate) fn order_stop(&mut self, id: &WorkerId, address: Name, task: TaskKey, run: u32) {
-        let answer_within = self.answer_times.limit();
-        let order = StopOrder { task, run, fence: self.term, answer_within };
+    pub(crate) fn send_stop_order(
+        &mut self,
+        id: &WorkerId,
+        address: Name,
+        task: TaskKey,
+        run: u32,
+    ) {
+        let answer_timeout = self.answer_times.limit();
+        let order = StopOrder { task, run, fence: self.term, answer_timeout };
         self.act(Action::Stop { worker: id.clone(), address, order });
     }
 
@@ -238,7 +253,7 @@
         run: u32,
         result: Result<Millis, CallError>,
     ) {
-        let Some(view) = self.views.get_mut(id) else { return };
+        let Some(view) = self.worker_views.get_mut(id) else { return };
         let order = view.orders.get_mut(task).filter(|o| o.run == run);
         match (order, result) {
             (Some(order), Ok(_)) if order.stage == Stage::Stopping => {
@@ -246,11 +261,11 @@
                 order.retry_at = None;
             }
             (_, Err(CallError::Refused(Refusal::OtherLife))) => {
-                self.worker_gone(id, LifeEnd::OtherLife);
+                self.worker_gone(id, IncarnationEnd::Replaced);
             }
             // Whatever it was, a stop is repeated until it is confirmed.
             (Some(order), Err(_)) if order.stage == Stage::Stopping => {
-                order.retry_at = Some(m.now + ORDER_RETRY);
+                order.retry_at = Some(m.now + ORDER_RETRY_DELAY);
             }
             _ => {}
         }
@@ -259,9 +274,9 @@
     /// Stops the runs of jobs that have ended, of tasks that are done, and the rest of gangs that
     /// have lost a member.
     pub(crate) fn stop_unwanted(&mut self) {
-        for id in std::mem::take(&mut self.sweep) {
+        for id in std::mem::take(&mut self.jobs_to_clean_up) {
             for (worker, task, run) in self.unwanted_runs(id) {
-                let Some(view) = self.views.get_mut(&worker) else { continue };
+                let Some(view) = self.worker_views.get_mut(&worker) else { continue };
                 let Some(order) = view.orders.get_mut(&task).filter(|o| o.run == run) else {
                     continue;
                 };
--- a/components/dispatch/src/organisations.rs
+++ b/components/dispatch/src/organisations.rs
@@ -33,7 +33,7 @@
 impl Dispatcher {
     /// Tells whether a caller may see and cancel a job at a queue. The jobs of public queues are open to all, and
     /// so are those that belong to nobody.
-    pub(crate) fn may_handle(&self, queue: &Queue, caller: &Caller, job: JobId) -> bool {
+    pub(crate) fn may_access(&self, queue: &Queue, caller: &Caller, job: JobId) -> bool {
         let Caller::Organisation(name) = caller else { return true };
         queue.public || self.replicated.ownership().owner(job).is_none_or(|owner| owner == name)
     }
--- a/components/dispatch/src/torn_gangs.rs
+++ b/components/dispatch/src/partial_gangs.rs
@@ -11,11 +11,11 @@
 
 impl Dispatcher {
     /// Tells of members that hold up their gangs now, and in what state their orders are.
-    pub(crate) fn tell_torn_gangs(&mut self) {
+    pub(crate) fn log_partial_gangs(&mut self) {
         let torn: Vec<TaskKey> = self.torn_members().take(MOST_TOLD).collect();
         for member in torn {
             let details = self.member_state(&member);
-            self.note(&kinds::GANG_TORN, member, details);
+            self.log_event(&kinds::GANG_TORN, member, details);
         }
     }
 
@@ -37,10 +37,10 @@
     fn member_state(&self, member: &TaskKey) -> String {
         let Some(task) = self.replicated.task(member) else { return String::new() };
         let Some(worker) = &task.at else { return String::new() };
-        let view = self.views.get(worker);
+        let view = self.worker_views.get(worker);
         let order = view.and_then(|v| v.orders.get(member));
         let stage = order.map_or("none", |o| o.stage.name());
-        let listed = view.is_some_and(|v| v.rows.contains_key(member));
+        let listed = view.is_some_and(|v| v.statuses.contains_key(member));
         let in_contact = view.is_some_and(|v| v.in_contact);
         let run = task.run;
         format!("run={run} worker={worker} stage={stage} listed={listed} in_contact={in_contact}")
--- a/components/dispatch/src/plan_state.rs
+++ b/components/dispatch/src/plan_state.rs
@@ -5,31 +5,31 @@
 use model::Size;
 use workload::WorkerId;
 
-use crate::advice::Choice;
-use crate::asking::Need;
-use crate::room::{Kept, Sought};
+use crate::advice::AdviceSelection;
+use crate::advice_requests::StepNeedingAdvice;
+use crate::capacity_reservations::{ReservedCapacity, WorkerSelector};
 use crate::suspects::YoungSuspects;
 
 /// The current plan, or the last one.
 #[derive(Default)]
 pub(crate) struct PlanState {
     /// The cost so far, in workers examined.
-    pub(crate) looks: u64,
+    pub(crate) examined: u64,
     /// The number of steps for which the plan scanned all workers for some to ask about.
     pub(crate) scans: u32,
     /// The number of steps that needed a call for advice and found no instance free to make it.
     pub(crate) without_caller: u64,
     /// The number of steps for which no scan was left to find out whether a task could start.
-    pub(crate) without_look: u64,
+    pub(crate) not_examined: u64,
     /// The capacity reserved on workers for waiting large tasks.
-    pub(crate) kept_free: BTreeMap<WorkerId, Size>,
+    pub(crate) reserved_capacity: BTreeMap<WorkerId, Size>,
     /// The total reserved capacity, by the set of eligible workers.
-    pub(crate) rooms_made: BTreeMap<Sought, Kept>,
+    pub(crate) reservations: BTreeMap<WorkerSelector, ReservedCapacity>,
     /// The steps that need advice and wait for capacity, the most urgent first, with the workers
     /// that a call would name if these were determined.
-    pub(crate) put_back: Vec<(Need, Option<Choice>)>,
+    pub(crate) deferred: Vec<(StepNeedingAdvice, Option<AdviceSelection>)>,
     /// Whether any worker that could take work is deprioritised or on probation.
-    pub(crate) spares_any: bool,
+    pub(crate) any_deprioritised: bool,
     /// The young suspects on workers that run any.
     pub(crate) young_suspects: BTreeMap<WorkerId, YoungSuspects>,
 }
@@ -37,13 +37,13 @@
 impl PlanState {
     /// Resets the state for a plan that has examined so many workers to choose its steps. Which
     /// workers are deprioritised and which suspects are young is kept until it is determined anew.
-    pub(crate) fn begin(&mut self, looks: u64) {
-        self.looks = looks;
+    pub(crate) fn begin(&mut self, examined: u64) {
+        self.examined = examined;
         self.scans = 0;
         self.without_caller = 0;
-        self.without_look = 0;
-        self.kept_free.clear();
-        self.rooms_made.clear();
-        self.put_back.clear();
+        self.not_examined = 0;
+        self.reserved_capacity.clear();
+        self.reservations.clear();
+        self.deferred.clear();
     }
 }
--- a/components/dispatch/src/renewals.rs
+++ b/components/dispatch/src/renewals.rs
@@ -9,10 +9,12 @@
 use crate::action::Action;
 use crate::dispatcher::Dispatcher;
 use crate::input::Moment;
-use crate::limits::{IDLE_WAIT, RENEW_AGAIN, RENEW_RETRY, busy_wait};
-use crate::order::{CallError, Refusal, RenewOrder, Report, RunRow};
-use crate::view::Stage;
-use crate::workers::LifeEnd;
+use crate::limits::{
+    IDLE_RENEWAL_WAIT, RENEWAL_RETRY_IN_CONTACT, RENEWAL_RETRY_NO_CONTACT, busy_renewal_wait,
+};
+use crate::worker_messages::{CallError, Refusal, RenewOrder, Report, RunStatus};
+use crate::worker_view::Stage;
+use crate::workers::IncarnationEnd;
 
 impl Dispatcher {
     /// Sends the next renewal, unless one is under way.
@@ -21,20 +23,20 @@
         let (address, seen, idle) =
             (worker.info.address.clone(), worker.last_end, worker.runs.is_empty());
         let (fence, span) = (self.term, self.limits.lease);
-        let busy = busy_wait(self.views.len());
-        let Some(view) = self.views.get_mut(id) else { return };
+        let busy = busy_renewal_wait(self.worker_views.len());
+        let Some(view) = self.worker_views.get_mut(id) else { return };
         // Without contact nothing is granted: the lease must be able to run out.
-        let deadline = if view.in_contact { view.grant(m.now, span) } else { None };
+        let deadline = if view.in_contact { view.grant_lease(m.now, span) } else { None };
         let wait = match (view.in_contact, idle) {
             // The first answer tells the clock and what runs; neither can wait.
             (false, _) => Millis::ZERO,
-            (true, true) => IDLE_WAIT,
+            (true, true) => IDLE_RENEWAL_WAIT,
             (true, false) => busy,
         };
-        let answer_within = self.answer_times.limit();
-        view.renewing = true;
-        view.answer_due = m.now + wait + answer_within;
-        let order = RenewOrder { fence, seen, deadline, wait, answer_within };
+        let answer_timeout = self.answer_times.limit();
+        view.renewal_in_flight = true;
+        view.answer_due = m.now + wait + answer_timeout;
+        let order = RenewOrder { fence, seen, deadline, wait, answer_timeout };
         self.act(Action::Renew { worker: id.clone(), address, order });
     }
 
@@ -47,40 +49,44 @@
         result: Result<Report, CallError>,
     ) {
         if let Err(CallError::Named(life)) = &result
-            && !self.views.contains_key(life)
+            && !self.worker_views.contains_key(life)
         {
-            self.name_life(m, id, life.clone());
+            self.assign_incarnation(m, id, life.clone());
             return;
         }
-        let Some(view) = self.views.get_mut(id) else { return };
-        view.renewing = false;
+        let Some(view) = self.worker_views.get_mut(id) else { return };
+        view.renewal_in_flight = false;
         let report = match result {
             Ok(report) => report,
             Err(CallError::Refused(Refusal::OtherLife)) => {
-                self.worker_gone(id, LifeEnd::OtherLife);
+                self.worker_gone(id, IncarnationEnd::Replaced);
                 return;
             }
             Err(e) => {
-                let retry = if view.in_contact { RENEW_AGAIN } else { RENEW_RETRY };
-                view.note_silence(m.now, view.answer_due);
+                let retry = if view.in_contact {
+                    RENEWAL_RETRY_IN_CONTACT
+                } else {
+                    RENEWAL_RETRY_NO_CONTACT
+                };
+                view.record_silence(m.now, view.answer_due);
                 if view.in_contact {
                     view.in_contact = false;
-                    self.note(
+                    self.log_event(
                         &kinds::WORKER_SILENT,
                         id,
                         format!("why={e:?} sent_ms_ago={}", m.now.since(sent_at).0),
                     );
                 }
-                if let Some(view) = self.views.get_mut(id) {
+                if let Some(view) = self.worker_views.get_mut(id) {
                     view.renew_at = m.now + retry;
                 }
                 return;
             }
         };
-        view.read_clock(m.now, report.clock);
+        view.record_clock(m.now, report.clock);
         let regained = !view.in_contact;
         view.in_contact = true;
-        view.rows = report.running.iter().map(|r| (r.task, r.clone())).collect();
+        view.statuses = report.running.iter().map(|r| (r.task, r.clone())).collect();
         if regained && self.replicated.crashes().has_lapsed_runs(id) {
             self.propose(Command::WorkerSurvived { worker: id.clone() });
         }
@@ -90,20 +96,20 @@
             let (runs, clock) = (report.running.len(), report.clock.0);
             let seen = self.replicated.worker(id).map_or(0, |w| w.last_end);
             let details = format!("runs={runs} clock_ms={clock} seen={seen}");
-            self.note(&kinds::WORKER_REACHED, id, details);
+            self.log_event(&kinds::WORKER_REACHED, id, details);
         }
         let news = self.take_ends(m, id, report.ends);
-        if let Some(view) = self.views.get_mut(id) {
-            view.progress.retain(|k, _| view.rows.contains_key(k));
+        if let Some(view) = self.worker_views.get_mut(id) {
+            view.progress.retain(|k, _| view.statuses.contains_key(k));
         }
         self.settle_orders(m, id, sent_at, &report.running);
-        self.heed_lasting_runs(m, id, &report.running);
+        self.credit_long_running_runs(m, id, &report.running);
         self.watch_speed(m, id, &report.running);
         self.stop_strays(id, &report.running);
         match news {
             true => {
-                if let Some(view) = self.views.get_mut(id) {
-                    view.renewing = true;
+                if let Some(view) = self.worker_views.get_mut(id) {
+                    view.renewal_in_flight = true;
                 }
                 self.renew_when_committed(id.clone());
             }
@@ -125,11 +131,11 @@
         let open = |id: &JobId| self.replicated.job(*id).is_some_and(|j| !j.state.is_final());
         let jobs: Vec<JobId> = jobs.into_iter().filter(open).collect();
         self.propose(Command::Ended { worker: id.clone(), ends, at: m.wall });
-        self.tell_what_is_over(jobs);
+        self.log_ended_jobs(jobs);
         true
     }
 
-    pub(crate) fn tell_what_is_over(&mut self, jobs: Vec<JobId>) {
+    pub(crate) fn log_ended_jobs(&mut self, jobs: Vec<JobId>) {
         for id in jobs {
             let Some(job) = self.replicated.job(id).filter(|j| j.state.is_final()) else {
                 continue;
@@ -138,15 +144,15 @@
             let gave_up = job.state == JobState::Failed && self.replicated.crashes().gave_up(id);
             let why = if gave_up { " why=\"its workers crashed\"" } else { "" };
             let details = format!("state={:?} queue={} took_ms={took}{why}", job.state, job.queue);
-            self.note(&kinds::JOB_OVER, id, details);
+            self.log_event(&kinds::JOB_OVER, id, details);
         }
     }
 
     fn judge_end(&mut self, m: Moment, id: &WorkerId, end: &End) {
-        self.sweep.insert(end.task.step.job);
+        self.jobs_to_clean_up.insert(end.task.step.job);
         let details = format!("run={} worker={id} how={:?} end={}", end.run, end.kind, end.number);
-        self.note(&kinds::RUN_ENDED, end.task, details);
-        let Some(view) = self.views.get_mut(id) else { return };
+        self.log_event(&kinds::RUN_ENDED, end.task, details);
+        let Some(view) = self.worker_views.get_mut(id) else { return };
         let mut began = m.now;
         if let Some(order) = view.orders.get(&end.task).filter(|o| o.run == end.run) {
             began = order.since;
@@ -156,14 +162,14 @@
         match end.kind {
             EndKind::Done => {
                 let took = progress.map(|p| p.age(m.now));
-                self.ran_well(m, id, began);
+                self.record_run_done(m, id, began);
                 if let Some(took) = took {
-                    self.speeds.entry(end.task.step).or_default().note_done(id, took);
+                    self.step_speeds.entry(end.task.step).or_default().record_done(id, took);
                 }
             }
             EndKind::Failed => {
-                self.avoid.entry(end.task).or_default().insert(id.clone());
-                self.ran_badly(m, id, &end.task, began);
+                self.avoided_workers.entry(end.task).or_default().insert(id.clone());
+                self.record_run_failed(m, id, &end.task, began);
             }
             EndKind::Stopped | EndKind::Lapsed | EndKind::Broken | EndKind::Alone => {}
         }
@@ -171,8 +177,8 @@
 
     /// Compares the open orders with what the worker lists. A run that it neither lists as running
     /// nor as ended is settled only if no order for it can be carried out any more.
-    fn settle_orders(&mut self, m: Moment, id: &WorkerId, sent_at: Millis, running: &[RunRow]) {
-        let Some(view) = self.views.get_mut(id) else { return };
+    fn settle_orders(&mut self, m: Moment, id: &WorkerId, sent_at: Millis, running: &[RunStatus]) {
+        let Some(view) = self.worker_views.get_mut(id) else { return };
         let mut never = Vec::new();
         for (task, order) in &mut view.orders {
             let listed = running.iter().any(|r| r.task == *task && r.run == order.run);
@@ -197,12 +203,12 @@
             view.orders.remove(task);
         }
         if !never.is_empty() {
-            self.never_started(id, never, "not listed");
+            self.propose_not_started(id, never, "not listed");
         }
     }
 
     /// Stops runs that the worker lists and the log knows nothing of any more.
-    fn stop_strays(&mut self, id: &WorkerId, running: &[RunRow]) {
+    fn stop_strays(&mut self, id: &WorkerId, running: &[RunStatus]) {
         let Some(worker) = self.replicated.worker(id) else { return };
         let strays: Vec<(TaskKey, u32)> = running
             .iter()
@@ -211,8 +217,8 @@
             .collect();
         let address = worker.info.address.clone();
         for (task, run) in strays {
-            self.note(&kinds::RUN_STRAY, task, format!("run={run} worker={id}"));
-            self.order_stop(id, address.clone(), task, run);
+            self.log_event(&kinds::RUN_STRAY, task, format!("run={run} worker={id}"));
+            self.send_stop_order(id, address.clone(), task, run);
         }
     }
 }
--- a/components/dispatch/src/silence.rs
+++ b/components/dispatch/src/silent_zones.rs
@@ -11,7 +11,7 @@
 use clock::Millis;
 use model::Name;
 
-use crate::view::View;
+use crate::worker_view::WorkerView;
 
 /// How many workers of a zone must have fallen silent: two lost answers at once are an everyday event.
 const FEWEST: usize = 3;
@@ -26,7 +26,7 @@
 /// away, and none counts.
 pub(crate) fn silent_zones<'a>(
     now: Millis,
-    workers: impl Iterator<Item = (&'a Name, &'a View)>,
+    workers: impl Iterator<Item = (&'a Name, &'a WorkerView)>,
 ) -> BTreeSet<Name> {
     let mut zones: BTreeMap<&Name, (usize, usize)> = BTreeMap::new();
     for (zone, view) in workers.filter(|(_, v)| !v.leaving) {
--- a/components/dispatch/src/slack.rs
+++ b/components/dispatch/src/slack.rs
@@ -5,7 +5,7 @@
 
 use crate::dispatcher::Dispatcher;
 use crate::input::Moment;
-use crate::limits::LAST_CALL;
+use crate::limits::MAX_URGENT_SLACK;
 
 impl Dispatcher {
     /// Returns how long a job's round may make no progress and still be in time, by declared run
@@ -40,11 +40,11 @@
     /// Returns the sort key of a waiting step, lowest first: the most urgent priority by itself,
     /// then steps that must start soon to be in time, then the rest by priority.
     pub(crate) fn urgency(&self, m: Moment, entry: &OpenStep) -> (u8, Millis, u64) {
-        if entry.priority == 0 || !self.limits.mechanisms.heeds_slack {
+        if entry.priority == 0 || !self.limits.mechanisms.orders_by_slack {
             return (entry.priority, Millis::ZERO, entry.order);
         }
         let slack = self.slack(m, &entry.key);
-        match slack > Millis::ZERO && slack < LAST_CALL {
+        match slack > Millis::ZERO && slack < MAX_URGENT_SLACK {
             true => (1, slack, entry.order),
             false => (entry.priority.saturating_add(1), Millis::ZERO, entry.order),
         }
--- a/components/dispatch/src/speed.rs
+++ b/components/dispatch/src/speed.rs
@@ -9,7 +9,9 @@
 use clock::Millis;
 use workload::WorkerId;
 
-use crate::limits::{FEWEST_OTHERS, MOVE_COST, SPEED_WINDOW, STANDSTILL, STRAGGLER_FACTOR};
+use crate::limits::{
+    MIN_COMPARED_WORKERS, MIN_SPEED_WINDOW, MOVE_COST, NO_PROGRESS_WINDOW, STRAGGLER_FACTOR,
+};
 
 /// How far a run has come, from the reports of its worker.
 #[derive(Clone, Debug)]
@@ -30,12 +32,12 @@
     }
 
     /// Takes in a report.
-    pub(crate) fn note(&mut self, now: Millis, percent: u32) {
+    pub(crate) fn record(&mut self, now: Millis, percent: u32) {
         self.newest = percent;
         let span = now.since(self.at);
         let gained = percent.saturating_sub(self.percent);
         // A run that seems to stand still gets longer to show that it does not.
-        let window = if gained == 0 { STANDSTILL } else { SPEED_WINDOW };
+        let window = if gained == 0 { NO_PROGRESS_WINDOW } else { MIN_SPEED_WINDOW };
         if span >= window {
             self.speed = Some(f64::from(gained) / span.0 as f64);
             self.at = now;
@@ -59,13 +61,13 @@
         &self,
         elsewhere: f64,
         keeps_progress: bool,
-        stop_takes: Millis,
+        stop_time: Millis,
     ) -> bool {
         let Some(speed) = self.speed else { return false };
         let left = f64::from(100u32.saturating_sub(self.newest));
         let here = if speed > 0.0 { left / speed } else { f64::INFINITY };
         let there = if keeps_progress { left } else { 100.0 } / elsewhere;
-        here > there * STRAGGLER_FACTOR + (stop_takes + MOVE_COST).0 as f64
+        here > there * STRAGGLER_FACTOR + (stop_time + MOVE_COST).0 as f64
     }
 }
 
@@ -78,23 +80,23 @@
 
 impl StepSpeeds {
     /// Takes in a speed in percent a millisecond.
-    pub(crate) fn note(&mut self, worker: &WorkerId, speed: f64) {
+    pub(crate) fn record(&mut self, worker: &WorkerId, speed: f64) {
         self.by_worker.insert(worker.clone(), speed);
     }
 
     /// Takes in that a task of the step is done.
-    pub(crate) fn note_done(&mut self, worker: &WorkerId, took: Millis) {
-        self.note(worker, 100.0 / took.0.max(1) as f64);
+    pub(crate) fn record_done(&mut self, worker: &WorkerId, took: Millis) {
+        self.record(worker, 100.0 / took.0.max(1) as f64);
     }
 
     /// Gives the median speed on other workers, if there are enough of them to tell.
     pub(crate) fn elsewhere(&self, worker: &WorkerId) -> Option<f64> {
         let others = self.by_worker.iter().filter(|(w, _)| *w != worker);
-        let mut speeds: Vec<f64> = others.map(|(_, s)| *s).collect();
-        if speeds.len() < FEWEST_OTHERS {
+        let mut step_speeds: Vec<f64> = others.map(|(_, s)| *s).collect();
+        if step_speeds.len() < MIN_COMPARED_WORKERS {
             return None;
         }
-        speeds.sort_by(f64::total_cmp);
-        Some(speeds[speeds.len() / 2]).filter(|s| *s > 0.0)
+        step_speeds.sort_by(f64::total_cmp);
+        Some(step_speeds[step_speeds.len() / 2]).filter(|s| *s > 0.0)
     }
 }
--- a/components/dispatch/src/sign_of_life.rs
+++ b/components/dispatch/src/start_confirmation.rs
@@ -8,23 +8,23 @@
 
 use crate::dispatcher::Dispatcher;
 use crate::input::Moment;
-use crate::limits::SEEMS_WELL;
-use crate::view::{Order, Stage, View};
+use crate::limits::SEEMS_HEALTHY_AGE;
+use crate::worker_view::{Order, Stage, WorkerView};
 
 /// Tells whether a run is old enough to seem well and its worker has neither answered since then nor been asked.
-fn wants_asking(m: Moment, view: &View, order: &Order) -> bool {
+fn wants_asking(m: Moment, view: &WorkerView, order: &Order) -> bool {
     let confirmed = matches!(order.stage, Stage::Confirmed { .. });
-    let seems_well_at = order.since + SEEMS_WELL;
-    let answered = view.reading.is_some_and(|r| r.at >= seems_well_at);
+    let seems_well_at = order.since + SEEMS_HEALTHY_AGE;
+    let answered = view.clock_reading.is_some_and(|r| r.at >= seems_well_at);
     let asked = order.sent_at >= seems_well_at;
     confirmed && view.is_usable() && m.now >= seems_well_at && !answered && !asked
 }
 
 impl Dispatcher {
     /// Asks the workers that run tasks of a step at fault of which it is not known yet whether they seem well.
-    pub(crate) fn ask_for_signs_of_life(&mut self, m: Moment, key: &StepKey) {
+    pub(crate) fn probe_unanswered_runs(&mut self, m: Moment, key: &StepKey) {
         for (worker, task, run) in self.unanswered_runs(m, key) {
-            self.send_start_again(m, &worker, &task, run);
+            self.resend_start(m, &worker, &task, run);
         }
     }
 
@@ -33,7 +33,7 @@
         let placed = (0..).zip(&step.tasks).filter_map(|(i, t)| Some((i, t.at.as_ref()?, t.run)));
         let runs = placed.map(|(index, worker, run)| (worker, TaskKey { step: *key, index }, run));
         let wanted = runs.filter(|(worker, task, run)| {
-            let Some(view) = self.views.get(*worker) else { return false };
+            let Some(view) = self.worker_views.get(*worker) else { return false };
             let order = view.orders.get(task).filter(|o| o.run == *run);
             order.is_some_and(|o| wants_asking(m, view, o))
         });
--- a/components/dispatch/src/window.rs
+++ b/components/dispatch/src/step_selection.rs
@@ -30,44 +30,44 @@
 
 /// The position of the rotation through the steps behind the most urgent ones.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Window {
+pub(crate) struct StepSelector {
     last_turn: Option<OpenStep>,
 }
 
 /// The steps that a plan examines.
-pub(crate) struct Looked {
+pub(crate) struct SelectedSteps {
     /// The most urgent ones.
     pub(crate) urgent: Vec<OpenStep>,
     /// The next ones in the rotation.
-    pub(crate) by_turns: Vec<OpenStep>,
+    pub(crate) in_rotation: Vec<OpenStep>,
     /// The number of jobs skipped because none of their rounds is due, and of steps skipped because
     /// their organisation is at its limit.
-    pub(crate) passed_over: u64,
+    pub(crate) skipped: u64,
 }
 
-impl Window {
+impl StepSelector {
     /// Returns the steps that the next plan examines, of those that may start.
     pub(crate) fn next(
         &mut self,
         open: &BTreeSet<OpenStep>,
         readiness: impl Fn(&StepKey) -> Readiness,
-    ) -> Looked {
-        let mut due = DueSteps { open, readiness, from: Bound::Unbounded, passed_over: 0 };
+    ) -> SelectedSteps {
+        let mut due = DueSteps { open, readiness, from: Bound::Unbounded, skipped: 0 };
         let urgent: Vec<OpenStep> = due.by_ref().take(MOST_URGENT).collect();
         let Some(last_urgent) = urgent.last().copied().filter(|_| urgent.len() == MOST_URGENT)
         else {
             self.last_turn = None;
-            return Looked { urgent, by_turns: Vec::new(), passed_over: due.passed_over };
+            return SelectedSteps { urgent, in_rotation: Vec::new(), skipped: due.skipped };
         };
         let behind = self.last_turn.filter(|t| *t > last_urgent).unwrap_or(last_urgent);
         due.from = Bound::Excluded(behind);
-        let mut by_turns: Vec<OpenStep> = due.by_ref().take(BY_TURNS).collect();
+        let mut in_rotation: Vec<OpenStep> = due.by_ref().take(BY_TURNS).collect();
         // The rotation restarts behind the most urgent steps.
         due.from = Bound::Excluded(last_urgent);
-        let anew = due.by_ref().take_while(|e| *e <= behind).take(BY_TURNS - by_turns.len());
-        by_turns.extend(anew);
-        self.last_turn = by_turns.last().copied();
-        Looked { urgent, by_turns, passed_over: due.passed_over }
+        let anew = due.by_ref().take_while(|e| *e <= behind).take(BY_TURNS - in_rotation.len());
+        in_rotation.extend(anew);
+        self.last_turn = in_rotation.last().copied();
+        SelectedSteps { urgent, in_rotation, skipped: due.skipped }
     }
 }
 
@@ -76,7 +76,7 @@
     open: &'a BTreeSet<OpenStep>,
     readiness: F,
     from: Bound<OpenStep>,
-    passed_over: u64,
+    skipped: u64,
 }
 
 impl<F: Fn(&StepKey) -> Readiness> Iterator for DueSteps<'_, F> {
@@ -95,7 +95,7 @@
                 }
                 Readiness::AtLimit => self.from = Bound::Excluded(entry),
             }
-            self.passed_over += 1;
+            self.skipped += 1;
         }
     }
 }
--- a/components/dispatch/src/stragglers.rs
+++ b/components/dispatch/src/stragglers.rs
@@ -5,41 +5,43 @@
 
 use crate::dispatcher::Dispatcher;
 use crate::input::Moment;
-use crate::limits::{MOST_MOVES, SLOW_REST, SLOW_SHARE, YOUNGEST_STRAGGLER};
-use crate::order::RunRow;
+use crate::limits::{
+    MAX_MOVES_PER_TASK, MIN_STRAGGLER_AGE, SLOW_WORKER_BACKOFF, SLOW_WORKER_SPEED_RATIO,
+};
 use crate::speed::Progress;
-use crate::view::Stage;
+use crate::worker_messages::RunStatus;
+use crate::worker_view::Stage;
 
 impl Dispatcher {
     /// Measures how fast runs come on, moves those that would sooner be done elsewhere, and spares a
     /// worker that is slow altogether.
-    pub(crate) fn watch_speed(&mut self, m: Moment, id: &WorkerId, running: &[RunRow]) {
+    pub(crate) fn watch_speed(&mut self, m: Moment, id: &WorkerId, running: &[RunStatus]) {
         if !self.limits.mechanisms.moves_stragglers {
             return;
         }
-        let stop_takes = self.limits.stop_takes;
+        let stop_time = self.limits.stop_time;
         let mut shares = Vec::new();
         let mut stragglers = Vec::new();
         for row in running {
             let Some(spec) = self.replicated.step_spec(&row.task.step) else { continue };
-            let Some(view) = self.views.get_mut(id) else { return };
+            let Some(view) = self.worker_views.get_mut(id) else { return };
             let Some(order) = view.orders.get(&row.task) else { continue };
             if spec.long_running || spec.filler || order.run != row.run {
                 continue;
             }
             let fresh = Progress::new(order.since, m.now, row.percent);
             let progress = view.progress.entry(row.task).or_insert(fresh);
-            progress.note(m.now, row.percent);
+            progress.record(m.now, row.percent);
             let Some(speed) = progress.speed() else { continue };
-            let known = self.speeds.entry(row.task.step).or_default();
-            known.note(id, speed);
+            let known = self.step_speeds.entry(row.task.step).or_default();
+            known.record(id, speed);
             let Some(elsewhere) = known.elsewhere(id) else { continue };
             shares.push(speed / elsewhere);
             let settled = matches!(order.stage, Stage::Confirmed { .. })
-                && progress.age(m.now) >= YOUNGEST_STRAGGLER;
+                && progress.age(m.now) >= MIN_STRAGGLER_AGE;
             if settled
                 && !spec.gang
-                && progress.is_straggler(elsewhere, spec.checkpointing, stop_takes)
+                && progress.is_straggler(elsewhere, spec.checkpointing, stop_time)
             {
                 stragglers.push((row.task, row.run));
             }
@@ -52,12 +54,12 @@
 
     fn spare_if_slow(&mut self, m: Moment, id: &WorkerId, shares: &[f64]) {
         let mean = shares.iter().sum::<f64>() / shares.len().max(1) as f64;
-        let Some(view) = self.views.get_mut(id) else { return };
-        if !shares.is_empty() && mean < SLOW_SHARE {
-            let was_aside = view.record.is_slow(m.now);
-            view.record.spare_as_slow(m.now + SLOW_REST);
+        let Some(view) = self.worker_views.get_mut(id) else { return };
+        if !shares.is_empty() && mean < SLOW_WORKER_SPEED_RATIO {
+            let was_aside = view.health.is_slow(m.now);
+            view.health.mark_slow(m.now + SLOW_WORKER_BACKOFF);
             if !was_aside {
-                self.note(
+                self.log_event(
                     &kinds::WORKER_SLOW,
                     id,
                     format!("speed={mean:.2} runs={}", shares.len()),
@@ -68,12 +70,12 @@
 
     /// Stops a run that is to be started elsewhere; each worker has one try at a task.
     fn move_straggler(&mut self, m: Moment, id: &WorkerId, task: &TaskKey, run: u32) {
-        if !self.has_room_elsewhere(m, &task.step, id) {
+        if !self.has_capacity_elsewhere(m, &task.step, id) {
             return;
         }
-        let tried = self.avoid.entry(*task).or_default();
-        if tried.insert(id.clone()) && tried.len() <= MOST_MOVES {
-            self.note(&kinds::RUN_STRAGGLES, task, format!("run={run} worker={id}"));
+        let tried = self.avoided_workers.entry(*task).or_default();
+        if tried.insert(id.clone()) && tried.len() <= MAX_MOVES_PER_TASK {
+            self.log_event(&kinds::RUN_STRAGGLES, task, format!("run={run} worker={id}"));
             self.stop_when_committed(id.clone(), *task, run);
         }
     }
--- a/components/dispatch/src/suspects.rs
+++ b/components/dispatch/src/suspects.rs
@@ -21,10 +21,11 @@
 use crate::dispatcher::Dispatcher;
 use crate::input::Moment;
 use crate::limits::{
-    CLEARED_AFTER, FEWEST_SUSPECTS, MOST_UNHEARD, SEEMS_WELL, TOGETHER, TOGETHER_ONE_IN, YOUNG_RUN,
+    MAX_RUNS_OUT_OF_CONTACT, MAX_YOUNG_RUN_AGE, MIN_SUSPECTS_FOR_FAULTY_STEP, SEEMS_HEALTHY_AGE,
+    SIMULTANEOUS_SILENCE_DIVISOR, SIMULTANEOUS_SILENCE_WINDOW, SUSPECT_CLEARED_AFTER,
 };
 use crate::losses::{LostRun, OtherLoss};
-use crate::view::{Order, Stage, View};
+use crate::worker_view::{Order, Stage, WorkerView};
 
 /// What is held against a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -35,7 +36,7 @@
     /// A worker has crashed under it: such tasks are spread over as many workers as there are.
     Suspect,
     /// One crash more and its job is given up: it shares its worker with no other suspect that is young.
-    LastTry,
+    LastAttempt,
 }
 
 impl Suspicion {
@@ -44,7 +45,7 @@
         match crashes {
             0 => Suspicion::None,
             n if n + 1 < MAX_CRASHES => Suspicion::Suspect,
-            _ => Suspicion::LastTry,
+            _ => Suspicion::LastAttempt,
         }
     }
 }
@@ -54,22 +55,22 @@
 pub(crate) struct YoungSuspects {
     pub(crate) count: u32,
     /// Whether one of them is on its last try.
-    pub(crate) last_try: bool,
+    pub(crate) has_last_attempt: bool,
 }
 
 impl YoungSuspects {
     /// Notes one more.
     pub(crate) fn add(&mut self, suspicion: Suspicion) {
         self.count += u32::from(suspicion > Suspicion::None);
-        self.last_try |= suspicion == Suspicion::LastTry;
+        self.has_last_attempt |= suspicion == Suspicion::LastAttempt;
     }
 
     /// Tells whether a task may run beside them: none that is on its last try shares a worker with another suspect.
-    pub(crate) fn admit(&self, suspicion: Suspicion) -> bool {
+    pub(crate) fn admits(&self, suspicion: Suspicion) -> bool {
         match suspicion {
             Suspicion::None => true,
-            Suspicion::Suspect => !self.last_try,
-            Suspicion::LastTry => self.count == 0,
+            Suspicion::Suspect => !self.has_last_attempt,
+            Suspicion::LastAttempt => self.count == 0,
         }
     }
 }
@@ -77,7 +78,7 @@
 /// Tells whether a run has not lived for long enough to show that it leaves its worker alive.
 fn is_young(order: &Order, now: Millis) -> bool {
     let lives = matches!(order.stage, Stage::Confirmed { .. } | Stage::Stopping);
-    !lives || now.since(order.since) < YOUNG_RUN
+    !lives || now.since(order.since) < MAX_YOUNG_RUN_AGE
 }
 
 /// Tells whether a run may have begun on its worker and be there yet.
@@ -103,12 +104,12 @@
 impl StepRecord {
     /// Tells whether it seems to be the step's own fault that its tasks crashed their workers.
     fn seems_at_fault(&self) -> bool {
-        self.suspects >= FEWEST_SUSPECTS && self.suspects > self.settled
+        self.suspects >= MIN_SUSPECTS_FOR_FAULTY_STEP && self.suspects > self.settled
     }
 
     /// Gives how many more of its tasks may be started then: one first, and more the more are well.
     fn may_start(&self) -> usize {
-        let unheard = self.unheard.min(MOST_UNHEARD);
+        let unheard = self.unheard.min(MAX_RUNS_OUT_OF_CONTACT);
         let unknown = self.unsettled.saturating_sub(unheard + self.promising);
         (self.settled + unheard + self.promising + 1).saturating_sub(unknown)
     }
@@ -130,7 +131,7 @@
         let mut found: BTreeMap<WorkerId, YoungSuspects> = BTreeMap::new();
         for suspect in self.suspects() {
             for (worker, task) in self.placed_of(&suspect) {
-                let order = self.views.get(&worker).and_then(|v| v.orders.get(&task));
+                let order = self.worker_views.get(&worker).and_then(|v| v.orders.get(&task));
                 if order.is_some_and(|o| is_young(o, m.now)) {
                     found.entry(worker).or_default().add(self.suspicion(&suspect));
                 }
@@ -155,7 +156,7 @@
     }
 
     /// Notes that a plan has placed a task, so that the next ones keep away from it.
-    pub(crate) fn note_placed(&mut self, worker: &WorkerId, task: &TaskKey) {
+    pub(crate) fn record_placed(&mut self, worker: &WorkerId, task: &TaskKey) {
         let suspicion = self.suspicion(task);
         if suspicion > Suspicion::None {
             self.plan_state.young_suspects.entry(worker.clone()).or_default().add(suspicion);
@@ -163,8 +164,8 @@
     }
 
     /// Tells whether a worker runs anything that is young.
-    pub(crate) fn runs_young(&self, now: Millis, worker: &WorkerId) -> bool {
-        let orders = self.views.get(worker).map(|v| v.orders.values());
+    pub(crate) fn has_young_run(&self, now: Millis, worker: &WorkerId) -> bool {
+        let orders = self.worker_views.get(worker).map(|v| v.orders.values());
         orders.is_some_and(|mut o| o.any(|o| is_young(o, now)))
     }
 
@@ -213,25 +214,27 @@
 
     /// Tells whether a worker has answered, and is not silent, since a run was old enough to seem well.
     fn is_promising(&self, worker: &WorkerId, task: &TaskKey) -> bool {
-        let Some(view) = self.views.get(worker).filter(|v| v.silent_since.is_none()) else {
+        let Some(view) = self.worker_views.get(worker).filter(|v| v.silent_since.is_none()) else {
             return false;
         };
-        let Some(answered_at) = view.reading.map(|r| r.at) else { return false };
+        let Some(answered_at) = view.clock_reading.map(|r| r.at) else { return false };
         let confirmed = |o: &&Order| matches!(o.stage, Stage::Confirmed { .. });
         let order = view.orders.get(task).filter(confirmed);
-        order.is_some_and(|o| answered_at.since(o.since) >= SEEMS_WELL)
+        order.is_some_and(|o| answered_at.since(o.since) >= SEEMS_HEALTHY_AGE)
     }
 
     /// Tells whether a worker is silent in a way that says nothing of its runs: calls to it run into their time limits,
     /// as those to a worker that is cut off do, and nothing is learnt until its lease is over. Calls to one that has
     /// crashed break at once, and whoever answers next at its address tells of the crash, so others wait for that.
     fn is_unheard(&self, worker: &WorkerId) -> bool {
-        self.views.get(worker).is_some_and(|v| v.silent_since.is_some() && !v.broke_off)
+        self.worker_views
+            .get(worker)
+            .is_some_and(|v| v.silent_since.is_some() && !v.connection_broke)
     }
 
     /// Tells whether a run has shown that it leaves its worker alive.
     fn is_settled(&self, m: Moment, worker: &WorkerId, task: &TaskKey) -> bool {
-        let Some(view) = self.views.get(worker) else { return false };
+        let Some(view) = self.worker_views.get(worker) else { return false };
         let answers = view.in_contact && view.silent_since.is_none();
         answers && view.orders.get(task).is_some_and(|o| !is_young(o, m.now))
     }
@@ -251,10 +254,13 @@
     fn has_lived_on(&self, m: Moment, suspect: &TaskKey) -> bool {
         let placed = self.placed_of(suspect);
         let lives = |(worker, task): &(WorkerId, TaskKey)| {
-            let Some(view) = self.views.get(worker).filter(|v| v.in_contact) else { return false };
+            let Some(view) = self.worker_views.get(worker).filter(|v| v.in_contact) else {
+                return false;
+            };
             let order = view.orders.get(task);
             order.is_some_and(|o| {
-                matches!(o.stage, Stage::Confirmed { .. }) && m.now.since(o.since) >= CLEARED_AFTER
+                matches!(o.stage, Stage::Confirmed { .. })
+                    && m.now.since(o.since) >= SUSPECT_CLEARED_AFTER
             })
         };
         !placed.is_empty() && placed.iter().all(lives)
@@ -263,12 +269,12 @@
     /// Gives the runs that a worker may have crashed under, if it has. It was alive when it last answered, so
     /// runs that were old by then are to blame only where no younger one is.
     pub(crate) fn crash_suspects(&self, worker: &WorkerId) -> CrashSuspects {
-        let Some(view) = self.views.get(worker) else { return CrashSuspects::default() };
-        let alive_at = view.reading.map_or(Millis::ZERO, |r| r.at);
+        let Some(view) = self.worker_views.get(worker) else { return CrashSuspects::default() };
+        let alive_at = view.clock_reading.map_or(Millis::ZERO, |r| r.at);
         let begun = view.orders.iter().filter(|(_, o)| has_begun(o));
         let aged = begun.map(|(task, o)| ((*task, o.run), alive_at.since(o.since)));
-        let aged = aged.filter(|(_, age)| *age < CLEARED_AFTER);
-        let (young, old): (Vec<_>, Vec<_>) = aged.partition(|(_, age)| *age < YOUNG_RUN);
+        let aged = aged.filter(|(_, age)| *age < SUSPECT_CLEARED_AFTER);
+        let (young, old): (Vec<_>, Vec<_>) = aged.partition(|(_, age)| *age < MAX_YOUNG_RUN_AGE);
         let runs = |aged: Vec<_>| aged.into_iter().map(|(run, _)| run).collect();
         match young.is_empty() {
             true => CrashSuspects { primary: runs(old), ..CrashSuspects::default() },
@@ -300,7 +306,7 @@
                 loss.weight,
                 counted.contains(&(loss.task, loss.run)),
             );
-            self.note(&kinds::LOSS_IN_DOUBT, loss.task, details);
+            self.log_event(&kinds::LOSS_IN_DOUBT, loss.task, details);
         }
         self.propose(Command::LossesUncertain { losses: doubtful });
         self.without(crash_suspects, &excused)
@@ -346,14 +352,14 @@
         let Some(info) = self.replicated.worker(worker).map(|w| &w.info) else {
             return FULL_WEIGHT;
         };
-        let Some(view) = self.views.get(worker) else { return FULL_WEIGHT };
+        let Some(view) = self.worker_views.get(worker) else { return FULL_WEIGHT };
         let began = view.orders.get(task).map_or(self.now(), |o| o.since);
         let gang = self.replicated.step_spec(&task.step).filter(|s| s.gang);
         let run = LostRun {
             job: task.step.job,
             service: info.service.clone(),
             began,
-            at: view.lost_at(self.now()),
+            at: view.loss_time(self.now()),
             workers: gang.map_or(1, |s| s.count as usize),
         };
         let lost = self.recent_losses.beside(&run);
@@ -363,12 +369,12 @@
 
     /// Gives the other workers of a run's service that are silent, which may be lost.
     fn silent_beside(&self, worker: &WorkerId, run: &LostRun) -> impl Iterator<Item = OtherLoss> {
-        let silent = self.views.iter().filter(|(_, v)| v.silent_since.is_some());
+        let silent = self.worker_views.iter().filter(|(_, v)| v.silent_since.is_some());
         let others = silent.filter(move |(id, _)| *id != worker);
         let others = others.filter_map(|(id, v)| Some((self.replicated.worker(id)?, v)));
         let of_service = others.filter(|(w, _)| w.info.service == run.service);
         of_service.map(|(w, v)| OtherLoss {
-            at: v.lost_at(self.now()),
+            at: v.loss_time(self.now()),
             is_related: w.runs_any_of(run.job),
         })
     }
@@ -381,15 +387,16 @@
 
     /// Gives how many workers fell silent about when one did, that one counted.
     fn silent_together(&self, worker: &WorkerId) -> usize {
-        let since = |view: &View| view.silent_since;
-        let Some(at) = self.views.get(worker).and_then(since) else { return 0 };
-        let with_it =
-            |view: &View| since(view).is_some_and(|s| s.since(at) + at.since(s) < TOGETHER);
-        self.views.values().filter(|v| with_it(v)).count()
+        let since = |view: &WorkerView| view.silent_since;
+        let Some(at) = self.worker_views.get(worker).and_then(since) else { return 0 };
+        let with_it = |view: &WorkerView| {
+            since(view).is_some_and(|s| s.since(at) + at.since(s) < SIMULTANEOUS_SILENCE_WINDOW)
+        };
+        self.worker_views.values().filter(|v| with_it(v)).count()
     }
 
     /// Gives the runs that a worker may have crashed under whose lease is over, until its fate is known.
-    pub(crate) fn blame_for_silence(&self, worker: &WorkerId) -> CrashSuspects {
+    pub(crate) fn suspects_of_silence(&self, worker: &WorkerId) -> CrashSuspects {
         CrashSuspects {
             silent_alone: self.fell_silent_alone(worker),
             ..self.crash_suspects(worker)
@@ -401,7 +408,9 @@
     fn fell_silent_alone(&self, worker: &WorkerId) -> bool {
         match self.silent_together(worker) {
             0 => false,
-            together => together < 2 || together * TOGETHER_ONE_IN < self.views.len(),
+            together => {
+                together < 2 || together * SIMULTANEOUS_SILENCE_DIVISOR < self.worker_views.len()
+            }
         }
     }
 
@@ -418,11 +427,12 @@
 
     /// Notes when a worker was lost.
     fn note_loss(&mut self, id: &WorkerId) {
-        let (Some(view), Some(worker)) = (self.views.get(id), self.replicated.worker(id)) else {
+        let (Some(view), Some(worker)) = (self.worker_views.get(id), self.replicated.worker(id))
+        else {
             return;
         };
         let (service, jobs) = (worker.info.service.clone(), self.replicated.jobs_on(id));
-        self.recent_losses.note(view.lost_at(self.now()), service, jobs);
+        self.recent_losses.record(view.loss_time(self.now()), service, jobs);
     }
 
     /// The same for a worker that runs nothing and was not heard of for so long that it counts as lost.
@@ -441,15 +451,15 @@
         let open = |id: &JobId| self.replicated.job(*id).is_some_and(|j| !j.state.is_final());
         let open: Vec<JobId> = jobs.iter().filter(|id| open(id)).copied().collect();
         commands.into_iter().for_each(|c| self.propose(c));
-        self.sweep.extend(jobs);
-        self.tell_what_is_over(open);
+        self.jobs_to_clean_up.extend(jobs);
+        self.log_ended_jobs(open);
     }
 
     fn tell_crash(&mut self, id: &WorkerId) {
         let Some(worker) = self.replicated.worker(id) else { return };
         let service: Name = worker.info.service.clone();
         let details = format!("service={service} address={}", worker.info.address);
-        self.note(&kinds::WORKER_CRASHED, id, details);
+        self.log_event(&kinds::WORKER_CRASHED, id, details);
         self.act(Action::CountCrash { service });
     }
 }
--- a/components/dispatch/src/strangers.rs
+++ b/components/dispatch/src/unconfigured_workers.rs
@@ -10,21 +10,21 @@
 
 use crate::dispatcher::Dispatcher;
 use crate::input::Moment;
-use crate::limits::FORGET_WORKER;
-use crate::order::WorkerNews;
+use crate::limits::SILENT_WORKER_RETENTION;
+use crate::worker_messages::WorkerAnnouncement;
 
 /// How many of them are remembered; another writer may name any number of workers.
 const MOST_STRANGERS: usize = 4_096;
 
 /// The workers that no service is known for, with when they last announced themselves.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Strangers {
-    by_id: BTreeMap<WorkerId, (Millis, WorkerNews)>,
+pub(crate) struct UnconfiguredWorkers {
+    by_id: BTreeMap<WorkerId, (Millis, WorkerAnnouncement)>,
 }
 
-impl Strangers {
+impl UnconfiguredWorkers {
     /// Takes in an announcement; tells whether it is the first one of its worker that is remembered.
-    fn add(&mut self, now: Millis, news: WorkerNews) -> bool {
+    fn add(&mut self, now: Millis, news: WorkerAnnouncement) -> bool {
         let id = news.info.id.clone();
         if !self.by_id.contains_key(&id) && self.by_id.len() >= MOST_STRANGERS {
             return false;
@@ -37,7 +37,7 @@
     }
 
     pub(crate) fn forget_old(&mut self, now: Millis) {
-        self.by_id.retain(|_, (at, _)| now.since(*at) < FORGET_WORKER);
+        self.by_id.retain(|_, (at, _)| now.since(*at) < SILENT_WORKER_RETENTION);
     }
 }
 
@@ -50,18 +50,18 @@
     }
 
     /// Remembers a worker that no service is known for.
-    pub(crate) fn note_stranger(&mut self, m: Moment, news: WorkerNews) {
+    pub(crate) fn record_unconfigured(&mut self, m: Moment, news: WorkerAnnouncement) {
         let (id, service) = (news.info.id.clone(), news.info.service.clone());
-        if self.strangers.add(m.now, news) {
-            self.note(&kinds::WORKER_UNCONFIGURED, id, format!("service={service:?}"));
+        if self.unconfigured_workers.add(m.now, news) {
+            self.log_event(&kinds::WORKER_UNCONFIGURED, id, format!("service={service:?}"));
         }
     }
 
     /// Takes in those whose service a new configuration names.
-    pub(crate) fn admit_strangers(&mut self, m: Moment) {
-        let strangers = std::mem::take(&mut self.strangers);
-        for (_, news) in strangers.by_id.into_values() {
-            self.on_news(m, news);
+    pub(crate) fn admit_configured(&mut self, m: Moment) {
+        let unconfigured_workers = std::mem::take(&mut self.unconfigured_workers);
+        for (_, news) in unconfigured_workers.by_id.into_values() {
+            self.on_announcement(m, news);
         }
     }
 }
--- a/components/dispatch/src/wait_lines.rs
+++ b/components/dispatch/src/wait_logging.rs
@@ -8,15 +8,15 @@
 
 use crate::dispatcher::Dispatcher;
 use crate::input::Moment;
-use crate::limits::{LONG_WAIT, MOST_WAIT_LINES, WAIT_TOLD_AGAIN};
-use crate::waits::LastingWaits;
+use crate::limits::{MAX_WAIT_LINES_PER_SECOND, MIN_LOGGED_WAIT, WAIT_LOG_INTERVAL};
+use crate::long_running_waits::LongRunningWaits;
 
-/// The time over which [`MOST_WAIT_LINES`] is counted.
+/// The time over which [`MAX_WAIT_LINES_PER_SECOND`] is counted.
 const A_SECOND: Millis = Millis(1_000);
 
 /// Which waiting steps are logged, and when they were logged last.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct WaitLines {
+pub(crate) struct WaitLogger {
     /// When each step was last logged.
     told: BTreeMap<StepKey, Millis>,
     /// When the log lines of the last second were written.
@@ -25,21 +25,21 @@
     due: BTreeSet<StepKey>,
 }
 
-impl WaitLines {
+impl WaitLogger {
     /// Chooses the steps that the plan that begins is to log: first those that were never logged or
     /// not for the longest time, so that they rotate if there are more of them than lines.
-    pub(crate) fn choose(&mut self, now: Millis, waits: &LastingWaits) {
+    pub(crate) fn choose(&mut self, now: Millis, waits: &LongRunningWaits) {
         self.lately.retain(|at| now.since(*at) < A_SECOND);
-        let told_lately = |at: &Millis| now.since(*at) < WAIT_TOLD_AGAIN;
+        let told_lately = |at: &Millis| now.since(*at) < WAIT_LOG_INTERVAL;
         self.told.retain(|key, at| told_lately(at) || waits.since(key).is_some());
         let mut due: Vec<(Option<Millis>, Millis, StepKey)> = waits
             .steps()
-            .filter(|(_, since)| now.since(*since) >= LONG_WAIT)
+            .filter(|(_, since)| now.since(*since) >= MIN_LOGGED_WAIT)
             .map(|(key, since)| (self.told.get(key).copied(), since, *key))
             .filter(|(told, ..)| !told.as_ref().is_some_and(told_lately))
             .collect();
         due.sort_unstable();
-        let most = MOST_WAIT_LINES.saturating_sub(self.lately.len());
+        let most = MAX_WAIT_LINES_PER_SECOND.saturating_sub(self.lately.len());
         self.due = due.into_iter().take(most).map(|(.., key)| key).collect();
     }
 
@@ -52,16 +52,19 @@
 impl Dispatcher {
     /// Logs that a step has waited for long, if it is due now; `looked` says whether the current
     /// plan has reached the step.
-    pub(crate) fn tell_wait(&mut self, m: Moment, key: &StepKey, looked: bool) {
-        if !self.wait_lines.due.remove(key) {
+    pub(crate) fn log_wait(&mut self, m: Moment, key: &StepKey, looked: bool) {
+        if !self.wait_logger.due.remove(key) {
             return;
         }
-        let waiting: Vec<(TaskKey, Millis)> =
-            self.waits.of_step(key).filter(|(task, _)| self.still_waits(task)).collect();
+        let waiting: Vec<(TaskKey, Millis)> = self
+            .long_running_waits
+            .of_step(key)
+            .filter(|(task, _)| self.still_waits(task))
+            .collect();
         let Some((task, since)) = waiting.iter().min_by_key(|(_, since)| *since).copied() else {
             return;
         };
-        if m.now.since(since) < LONG_WAIT {
+        if m.now.since(since) < MIN_LOGGED_WAIT {
             return;
         }
         let held_back = waiting.len() - self.may_start_of(m, key, &waiting);
@@ -70,11 +73,11 @@
             m.now.since(since).0,
             waiting.len(),
             if looked { "yes" } else { "no" },
-            self.causes(m, task),
+            self.wait_reasons(m, task),
             if self.is_at_limit(key) { " at_limit=yes" } else { "" },
         );
-        self.wait_lines.note_told(m.now, *key);
-        self.note(&kinds::TASK_WAITS, task, details);
+        self.wait_logger.note_told(m.now, *key);
+        self.log_event(&kinds::TASK_WAITS, task, details);
     }
 
     /// Returns how many tasks of a step are not held back as suspects.
@@ -85,9 +88,9 @@
     }
 
     /// Logs the steps that the plan has not reached.
-    pub(crate) fn tell_other_waits(&mut self, m: Moment) {
-        for key in self.wait_lines.due.clone() {
-            self.tell_wait(m, &key, false);
+    pub(crate) fn log_remaining_waits(&mut self, m: Moment) {
+        for key in self.wait_logger.due.clone() {
+            self.log_wait(m, &key, false);
         }
     }
 }
