--- a/components/dispatch/src/causes.rs
+++ b/components/dispatch/src/wait_reasons.rs
@@ -7,10 +7,10 @@
 
 use workload::{StepSpec, TaskKey, Worker, WorkerId};
 
+use crate::candidates::max_additional_tasks;
 use crate::dispatcher::Dispatcher;
 use crate::input::Moment;
-use crate::seats::most_more;
-use crate::view::View;
+use crate::worker_view::WorkerView;
 
 /// The reason why a worker does not take a task. Each worker counts once, under the first reason
 /// that applies, so a later reason counts only workers that no earlier one applies to: first what
@@ -18,7 +18,7 @@
 /// there. A quarantined or slow worker takes a task that has waited for so long, so neither is a
 /// reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Cause {
+pub(crate) enum WaitReason {
     /// The worker lacks the label that the step requires.
     Unlabelled,
     /// The advice service does not allow the worker.
@@ -30,15 +30,15 @@
     /// The worker does not answer, or its zone has just fallen silent.
     Silent,
     /// The worker is in backoff: it has just refused a start, or nothing could be sent there.
-    Resting,
+    InBackoff,
     /// The worker runs fillers where the task has a target latency, or the other way round.
-    Mixed,
+    Incompatible,
     /// The worker runs as many tasks of the step as one worker may.
     Crowded,
     /// The task does not fit into the free capacity.
     Full,
     /// The task would fit, but the capacity is reserved for others.
-    Kept,
+    Reserved,
     /// The task is a crash suspect and may not run beside the young suspects there.
     Suspects,
     /// Whether the worker is allowed has not been asked yet.
@@ -49,38 +49,38 @@
     Avoided,
 }
 
-impl Cause {
+impl WaitReason {
     fn name(self) -> &'static str {
         match self {
-            Cause::Unlabelled => "unlabelled",
-            Cause::NotAllowed => "not_allowed",
-            Cause::TooSmall => "too_small",
-            Cause::Leaving => "leaving",
-            Cause::Silent => "silent",
-            Cause::Resting => "resting",
-            Cause::Mixed => "mixed",
-            Cause::Crowded => "crowded",
-            Cause::Full => "full",
-            Cause::Kept => "kept",
-            Cause::Suspects => "suspects",
-            Cause::Unknown => "unknown",
-            Cause::NoTicket => "no_ticket",
-            Cause::Avoided => "avoided",
+            WaitReason::Unlabelled => "unlabelled",
+            WaitReason::NotAllowed => "not_allowed",
+            WaitReason::TooSmall => "too_small",
+            WaitReason::Leaving => "leaving",
+            WaitReason::Silent => "silent",
+            WaitReason::InBackoff => "resting",
+            WaitReason::Incompatible => "mixed",
+            WaitReason::Crowded => "crowded",
+            WaitReason::Full => "full",
+            WaitReason::Reserved => "kept",
+            WaitReason::Suspects => "suspects",
+            WaitReason::Unknown => "unknown",
+            WaitReason::NoTicket => "no_ticket",
+            WaitReason::Avoided => "avoided",
         }
     }
 }
 
 /// The number of workers of a task's service, and the reasons why they do not take it.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Causes {
+pub(crate) struct WaitReasons {
     workers: u64,
     /// The workers without any reason.
     fit: u64,
-    against: BTreeMap<Cause, u64>,
+    against: BTreeMap<WaitReason, u64>,
 }
 
-impl Causes {
-    fn add(&mut self, cause: Option<Cause>) {
+impl WaitReasons {
+    fn add(&mut self, cause: Option<WaitReason>) {
         self.workers += 1;
         match cause {
             Some(cause) => *self.against.entry(cause).or_default() += 1,
@@ -90,7 +90,7 @@
 }
 
 /// Formats the counts as log fields. Reasons that apply to no worker are left out.
-impl fmt::Display for Causes {
+impl fmt::Display for WaitReasons {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "workers={} fit={}", self.workers, self.fit)?;
         self.against.iter().try_for_each(|(cause, n)| write!(f, " {}={n}", cause.name()))
@@ -103,31 +103,39 @@
     spec: &'a StepSpec,
     /// The workers that it has a ticket for; `None` if it needs none.
     tickets: Option<BTreeSet<&'a WorkerId>>,
-    avoid: Option<&'a BTreeSet<WorkerId>>,
+    avoided_workers: Option<&'a BTreeSet<WorkerId>>,
 }
 
 impl Dispatcher {
     /// Counts the reasons why the workers of a task's service do not take it. Examines all workers.
-    pub(crate) fn causes(&self, m: Moment, task: TaskKey) -> Causes {
-        let mut causes = Causes::default();
+    pub(crate) fn wait_reasons(&self, m: Moment, task: TaskKey) -> WaitReasons {
+        let mut wait_reasons = WaitReasons::default();
         let key = &task.step;
         let Some((job, spec)) = self.replicated.job(key.job).zip(self.replicated.step_spec(key))
         else {
-            return causes;
+            return wait_reasons;
         };
-        let by_advice = self.advice_of.contains_key(&job.queue);
-        let tickets = by_advice.then(|| self.desk.tickets(key, m.now).map(|(id, _)| id).collect());
-        let sought = Sought { task, spec, tickets, avoid: self.avoid.get(&task) };
+        let by_advice = self.advice_policies.contains_key(&job.queue);
+        let tickets = by_advice
+            .then(|| self.advice_scheduler.tickets(key, m.now).map(|(id, _)| id).collect());
+        let sought =
+            Sought { task, spec, tickets, avoided_workers: self.avoided_workers.get(&task) };
         let workers =
-            self.views.iter().filter_map(|(id, v)| Some((self.replicated.worker(id)?, v)));
+            self.worker_views.iter().filter_map(|(id, v)| Some((self.replicated.worker(id)?, v)));
         for (worker, view) in workers.filter(|(w, _)| w.info.service == job.service) {
-            causes.add(self.cause(m, &sought, worker, view));
+            wait_reasons.add(self.cause(m, &sought, worker, view));
         }
-        causes
+        wait_reasons
     }
 
     /// Returns the first reason that applies to a worker.
-    fn cause(&self, m: Moment, sought: &Sought<'_>, worker: &Worker, view: &View) -> Option<Cause> {
+    fn cause(
+        &self,
+        m: Moment,
+        sought: &Sought<'_>,
+        worker: &Worker,
+        view: &WorkerView,
+    ) -> Option<WaitReason> {
         let lasting = self.lasting_cause(sought, worker);
         let state = || self.state_cause(m, worker, view);
         let room = || self.room_cause(sought, worker);
@@ -135,64 +143,64 @@
     }
 
     /// Returns a reason that applies for as long as the task waits.
-    fn lasting_cause(&self, sought: &Sought<'_>, worker: &Worker) -> Option<Cause> {
+    fn lasting_cause(&self, sought: &Sought<'_>, worker: &Worker) -> Option<WaitReason> {
         let (spec, info) = (sought.spec, &worker.info);
         if spec.constraint.as_ref().is_some_and(|l| !info.labels.contains(l)) {
-            return Some(Cause::Unlabelled);
+            return Some(WaitReason::Unlabelled);
         }
         if self.is_barred(sought, &info.id) {
-            return Some(Cause::NotAllowed);
+            return Some(WaitReason::NotAllowed);
         }
-        (!spec.size.fits(&info.capacity)).then_some(Cause::TooSmall)
+        (!spec.size.fits(&info.capacity)).then_some(WaitReason::TooSmall)
     }
 
     fn is_barred(&self, sought: &Sought<'_>, id: &WorkerId) -> bool {
-        let barred = self.desk.barred(&sought.task.step);
-        sought.tickets.is_some() && barred.is_some_and(|b| b.contains(id))
+        let disallowed = self.advice_scheduler.disallowed(&sought.task.step);
+        sought.tickets.is_some() && disallowed.is_some_and(|b| b.contains(id))
     }
 
     /// Returns a reason in the worker's state, whatever is to run there.
-    fn state_cause(&self, m: Moment, worker: &Worker, view: &View) -> Option<Cause> {
+    fn state_cause(&self, m: Moment, worker: &Worker, view: &WorkerView) -> Option<WaitReason> {
         let silent = !view.in_contact || view.silent_since.is_some();
         if view.leaving {
-            return Some(Cause::Leaving);
+            return Some(WaitReason::Leaving);
         }
         if silent || self.silent_zones.contains(&worker.info.zone) {
-            return Some(Cause::Silent);
+            return Some(WaitReason::Silent);
         }
-        view.record.rests(m.now).then_some(Cause::Resting)
+        view.health.is_in_backoff(m.now).then_some(WaitReason::InBackoff)
     }
 
     /// Returns a reason in what runs on the worker, or may soon.
-    fn room_cause(&self, sought: &Sought<'_>, worker: &Worker) -> Option<Cause> {
+    fn room_cause(&self, sought: &Sought<'_>, worker: &Worker) -> Option<WaitReason> {
         let Sought { task, spec, .. } = sought;
         let id = &worker.info.id;
-        if !self.mixes(spec, worker) {
-            return Some(Cause::Mixed);
+        if !self.is_compatible(spec, worker) {
+            return Some(WaitReason::Incompatible);
         }
-        if most_more(&task.step, spec, worker) == 0 {
-            return Some(Cause::Crowded);
+        if max_additional_tasks(&task.step, spec, worker) == 0 {
+            return Some(WaitReason::Crowded);
         }
-        if !spec.size.fits(&self.room_for(spec, worker)) {
-            let kept = self.kept_free_on(id);
-            let with_kept = self.room_for(spec, worker).plus(&kept);
+        if !spec.size.fits(&self.free_capacity_for(spec, worker)) {
+            let kept = self.reserved_on(id);
+            let with_kept = self.free_capacity_for(spec, worker).plus(&kept);
             let only_kept =
                 spec.required_capacity().fits(&worker.free()) && spec.size.fits(&with_kept);
-            return Some(if only_kept { Cause::Kept } else { Cause::Full });
+            return Some(if only_kept { WaitReason::Reserved } else { WaitReason::Full });
         }
         let suspects = self.plan_state.young_suspects.get(id).copied().unwrap_or_default();
-        (!suspects.admit(self.suspicion(task))).then_some(Cause::Suspects)
+        (!suspects.admits(self.suspicion(task))).then_some(WaitReason::Suspects)
     }
 
     /// Returns a missing permission, or a reason that makes the worker less suitable without ruling
     /// it out.
-    fn leave_cause(&self, sought: &Sought<'_>, worker: &Worker) -> Option<Cause> {
-        let Sought { task, tickets, avoid, .. } = sought;
+    fn leave_cause(&self, sought: &Sought<'_>, worker: &Worker) -> Option<WaitReason> {
+        let Sought { task, tickets, avoided_workers, .. } = sought;
         let id = &worker.info.id;
         if tickets.as_ref().is_some_and(|t| !t.contains(id)) {
-            let allowed = self.desk.is_allowed(&task.step, id);
-            return Some(if allowed { Cause::NoTicket } else { Cause::Unknown });
+            let allowed = self.advice_scheduler.is_allowed(&task.step, id);
+            return Some(if allowed { WaitReason::NoTicket } else { WaitReason::Unknown });
         }
-        avoid.is_some_and(|a| a.contains(id)).then_some(Cause::Avoided)
+        avoided_workers.is_some_and(|a| a.contains(id)).then_some(WaitReason::Avoided)
     }
 }
--- a/components/dispatch/src/standing.rs
+++ b/components/dispatch/src/worker_health.rs
@@ -20,12 +20,12 @@
 use crate::dispatcher::Dispatcher;
 use crate::input::Moment;
 use crate::limits::{
-    FAILED_JOBS_IN_A_ROW, FAILS_FADE, MOST_ASIDE_PART, MOST_DOUBLINGS, SET_ASIDE, TRY_AGAIN,
-    YOUNG_RUN,
+    FAILURE_RETENTION, MAX_QUARANTINE_DOUBLINGS, MAX_QUARANTINED_DIVISOR, MAX_YOUNG_RUN_AGE,
+    MIN_FAILED_JOBS_FOR_QUARANTINE, QUARANTINE_RETRY, QUARANTINE_TIME,
 };
-use crate::order::RunRow;
-use crate::place::Turn;
-use crate::view::{Stage, View};
+use crate::planning::PlanPass;
+use crate::worker_messages::RunStatus;
+use crate::worker_view::{Stage, WorkerView};
 
 /// How long a single failure counts against its worker: the time of a few tries of a quick task
 /// elsewhere.
@@ -40,7 +40,7 @@
 
 /// How a worker's last runs ended, and the resulting restrictions.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Record {
+pub(crate) struct WorkerHealth {
     /// The tasks of which runs have failed since the last successful one.
     failed: BTreeSet<TaskKey>,
     first_failed_at: Millis,
@@ -54,11 +54,11 @@
     rests_until: Millis,
 }
 
-impl Record {
+impl WorkerHealth {
     /// Records that a run that began at `began` succeeded. A run that was there before the others
     /// failed does not show how the worker handles new ones: the worker would be trusted and fail
     /// them, again and again.
-    pub(crate) fn note_done(&mut self, now: Millis, began: Millis) {
+    pub(crate) fn record_done(&mut self, now: Millis, began: Millis) {
         let old = !self.failed.is_empty() && began <= self.first_failed_at;
         if old || (self.times > 0 && began <= self.judged_at) {
             return;
@@ -69,14 +69,14 @@
     }
 
     /// Records a failed run. Returns whether the worker is to be quarantined.
-    pub(crate) fn note_failed(&mut self, now: Millis, task: TaskKey, began: Millis) -> bool {
+    pub(crate) fn record_failed(&mut self, now: Millis, task: TaskKey, began: Millis) -> bool {
         // Runs that were there together when the worker was quarantined are one piece of evidence.
         if self.judged_at > Millis::ZERO && began <= self.judged_at {
             return false;
         }
         // Where all runs are long-running, none ever succeeds. Without this, two failures far apart
         // would quarantine a healthy worker.
-        if self.recent_fails(now) == 0 {
+        if self.recent_failures(now) == 0 {
             self.failed.clear();
             self.times = 0;
         }
@@ -85,7 +85,7 @@
         }
         self.failed_at = now;
         self.failed.insert(task);
-        self.is_failing() && !self.is_aside(now)
+        self.is_failing() && !self.is_quarantined(now)
     }
 
     /// Returns the number of jobs whose tasks have failed there. The tasks of a job are alike.
@@ -95,12 +95,12 @@
     }
 
     fn is_failing(&self) -> bool {
-        self.failed_jobs() >= FAILED_JOBS_IN_A_ROW
+        self.failed_jobs() >= MIN_FAILED_JOBS_FOR_QUARANTINE
     }
 
     /// Quarantines the worker, for longer each time. Returns for how long.
     fn set_aside(&mut self, now: Millis) -> Millis {
-        let span = Millis(SET_ASIDE.0 << self.times.min(MOST_DOUBLINGS));
+        let span = Millis(QUARANTINE_TIME.0 << self.times.min(MAX_QUARANTINE_DOUBLINGS));
         self.times += 1;
         self.judged_at = now;
         self.aside_until = now + span;
@@ -109,26 +109,26 @@
 
     /// Puts the worker in backoff, because it has just refused a start or nothing could be sent to
     /// it.
-    pub(crate) fn rest(&mut self, until: Millis) {
+    pub(crate) fn back_off(&mut self, until: Millis) {
         self.rests_until = self.rests_until.max(until);
     }
 
     /// Deprioritises the worker because it is slow.
-    pub(crate) fn spare_as_slow(&mut self, until: Millis) {
+    pub(crate) fn mark_slow(&mut self, until: Millis) {
         self.slow_until = self.slow_until.max(until);
     }
 
     /// Returns the number of jobs with failed runs since the last successful one, or 0 if none has
     /// failed recently.
-    pub(crate) fn recent_fails(&self, now: Millis) -> u32 {
-        let lately = now.since(self.failed_at.max(self.aside_until)) < FAILS_FADE;
+    pub(crate) fn recent_failures(&self, now: Millis) -> u32 {
+        let lately = now.since(self.failed_at.max(self.aside_until)) < FAILURE_RETENTION;
         if lately { self.failed_jobs() as u32 } else { 0 }
     }
 
     /// Returns the number of tasks that have failed there since a run succeeded, or 0 if none has
     /// failed recently.
     fn recent_tasks(&self, now: Millis) -> usize {
-        if self.recent_fails(now) > 0 { self.failed.len() } else { 0 }
+        if self.recent_failures(now) > 0 { self.failed.len() } else { 0 }
     }
 
     fn has_failed(&self) -> bool {
@@ -143,15 +143,15 @@
     /// Returns how many failures count against the worker where tasks choose among several. A
     /// single one counts only for a moment, since a worker that is passed over for it has no run to
     /// show that it is healthy.
-    pub(crate) fn weight(&self, now: Millis) -> u32 {
-        match self.recent_fails(now) {
+    pub(crate) fn failure_weight(&self, now: Millis) -> u32 {
+        match self.recent_failures(now) {
             1 if now.since(self.failed_at) >= SINGLE_FAIL_WEIGHS => 0,
             fails => fails,
         }
     }
 
     /// Returns whether the worker is quarantined for failures.
-    pub(crate) fn is_aside(&self, now: Millis) -> bool {
+    pub(crate) fn is_quarantined(&self, now: Millis) -> bool {
         now < self.aside_until
     }
 
@@ -161,23 +161,23 @@
     }
 
     /// Returns whether the worker is in backoff.
-    pub(crate) fn rests(&self, now: Millis) -> bool {
+    pub(crate) fn is_in_backoff(&self, now: Millis) -> bool {
         now < self.rests_until
     }
 
     /// Returns whether the worker is on probation: it was quarantined, and no run has succeeded
     /// there since.
-    pub(crate) fn is_on_trial(&self, now: Millis) -> bool {
-        self.times > 0 && self.recent_fails(now) > 0
+    pub(crate) fn is_on_probation(&self, now: Millis) -> bool {
+        self.times > 0 && self.recent_failures(now) > 0
     }
 
     /// Returns whether a worker on probation may have another try if its last run began at
     /// `last_began`.
     fn may_try(&self, now: Millis, last_began: Option<Millis>) -> bool {
-        let rested = now.since(self.failed_at) >= TRY_AGAIN;
+        let rested = now.since(self.failed_at) >= QUARANTINE_RETRY;
         // A try that has survived for a while does not block the next one, as it may run for any
         // time.
-        let is_over = |at: Millis| at <= self.judged_at || now.since(at) >= YOUNG_RUN;
+        let is_over = |at: Millis| at <= self.judged_at || now.since(at) >= MAX_YOUNG_RUN_AGE;
         rested && last_began.is_none_or(is_over)
     }
 }
@@ -197,7 +197,7 @@
     /// Returns whether one more worker may be quarantined.
     fn may_set_aside(&self) -> bool {
         let all = self.aside + self.used + 1;
-        self.aside == 0 || (self.aside + 1) * MOST_ASIDE_PART <= all
+        self.aside == 0 || (self.aside + 1) * MAX_QUARANTINED_DIVISOR <= all
     }
 
     /// Returns whether they fare better than a worker on which so many tasks failed. Where jobs
@@ -209,37 +209,43 @@
 
 /// The workers that a step may go to, by their health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Reach {
+pub(crate) enum Eligibility {
     /// Those that are not deprioritised. One on probation gets one try at a time.
-    Good,
+    Preferred,
     /// Those that are deprioritised, too. One on probation, quarantined or not, gets one try at a time.
-    Spared,
+    Deprioritised,
     /// All that can take work.
     All,
 }
 
 impl Dispatcher {
     /// Processes the success of a run on a worker.
-    pub(crate) fn ran_well(&mut self, m: Moment, id: &WorkerId, began: Millis) {
-        if let Some(view) = self.views.get_mut(id) {
-            view.record.note_done(m.now, began);
+    pub(crate) fn record_run_done(&mut self, m: Moment, id: &WorkerId, began: Millis) {
+        if let Some(view) = self.worker_views.get_mut(id) {
+            view.health.record_done(m.now, began);
         }
     }
 
     /// Processes the failure of a run on a worker, which is quarantined if this and other failures
     /// indicate a fault.
-    pub(crate) fn ran_badly(&mut self, m: Moment, id: &WorkerId, task: &TaskKey, began: Millis) {
-        if !self.limits.mechanisms.sets_aside {
+    pub(crate) fn record_run_failed(
+        &mut self,
+        m: Moment,
+        id: &WorkerId,
+        task: &TaskKey,
+        began: Millis,
+    ) {
+        if !self.limits.mechanisms.quarantines_workers {
             return;
         }
         let lasts = self.replicated.step_spec(&task.step).is_some_and(|s| s.long_running);
         // Long-running tasks end at any time, and a worker that fails all it starts fails them
         // immediately.
-        if lasts && m.now.since(began) >= YOUNG_RUN {
+        if lasts && m.now.since(began) >= MAX_YOUNG_RUN_AGE {
             return;
         }
-        let Some(view) = self.views.get_mut(id) else { return };
-        if view.record.note_failed(m.now, *task, began) {
+        let Some(view) = self.worker_views.get_mut(id) else { return };
+        if view.health.record_failed(m.now, *task, began) {
             self.set_aside(m, id);
         }
     }
@@ -250,30 +256,32 @@
             return;
         };
         let peers = self.peers_of(m, id, &service);
-        let Some(view) = self.views.get_mut(id) else { return };
-        let fares_worse = peers.fare_better(view.record.recent_tasks(m.now));
-        let is_sure = view.record.failed_jobs() >= JOBS_TO_BE_SURE;
+        let Some(view) = self.worker_views.get_mut(id) else { return };
+        let fares_worse = peers.fare_better(view.health.recent_tasks(m.now));
+        let is_sure = view.health.failed_jobs() >= JOBS_TO_BE_SURE;
         if !peers.may_set_aside() || !(fares_worse || is_sure) {
             return;
         }
-        let span = view.record.set_aside(m.now);
+        let span = view.health.set_aside(m.now);
         let (aside, all) = (peers.aside + 1, peers.aside + peers.used + 1);
         let details = format!("for_ms={} aside={aside} workers={all}", span.0);
-        self.note(&kinds::WORKER_FAILING, id, details);
+        self.log_event(&kinds::WORKER_FAILING, id, details);
     }
 
     /// Returns how the other workers of a service that are in contact fare.
     fn peers_of(&self, m: Moment, id: &WorkerId, service: &Name) -> Peers {
         let mut peers = Peers::default();
-        for (other, view) in self.views.iter().filter(|(other, v)| v.in_contact && *other != id) {
+        for (other, view) in
+            self.worker_views.iter().filter(|(other, v)| v.in_contact && *other != id)
+        {
             if self.replicated.worker(other).is_none_or(|w| w.info.service != *service) {
                 continue;
             }
-            match view.record.is_aside(m.now) {
+            match view.health.is_quarantined(m.now) {
                 true => peers.aside += 1,
                 false => {
                     peers.used += 1;
-                    peers.failed_tasks += view.record.recent_tasks(m.now);
+                    peers.failed_tasks += view.health.recent_tasks(m.now);
                 }
             }
         }
@@ -282,91 +290,102 @@
 
     /// Processes the report that long-running tasks are alive on a worker. They never finish, so
     /// this is the evidence for its health.
-    pub(crate) fn heed_lasting_runs(&mut self, m: Moment, id: &WorkerId, running: &[RunRow]) {
-        if !self.views.get(id).is_some_and(|v| v.record.has_failed()) {
+    pub(crate) fn credit_long_running_runs(
+        &mut self,
+        m: Moment,
+        id: &WorkerId,
+        running: &[RunStatus],
+    ) {
+        if !self.worker_views.get(id).is_some_and(|v| v.health.has_failed()) {
             return;
         }
         for row in running {
             let lasts = self.replicated.step_spec(&row.task.step).is_some_and(|s| s.long_running);
-            let Some(view) = self.views.get(id).filter(|_| lasts) else { continue };
+            let Some(view) = self.worker_views.get(id).filter(|_| lasts) else { continue };
             let Some(order) = view.orders.get(&row.task).filter(|o| o.run == row.run) else {
                 continue;
             };
             let began = order.since;
             let confirmed = matches!(order.stage, Stage::Confirmed { .. });
-            let lives = confirmed && m.now.since(began) >= YOUNG_RUN;
-            if lives && view.record.has_failed_before(began) {
-                self.ran_well(m, id, began);
+            let lives = confirmed && m.now.since(began) >= MAX_YOUNG_RUN_AGE;
+            if lives && view.health.has_failed_before(began) {
+                self.record_run_done(m, id, began);
             }
         }
     }
 
     /// Returns whether a worker is deprioritised.
-    fn is_spared(&self, m: Moment, worker: &Worker, view: &View) -> bool {
-        let record = &view.record;
-        record.is_aside(m.now)
+    fn is_spared(&self, m: Moment, worker: &Worker, view: &WorkerView) -> bool {
+        let record = &view.health;
+        record.is_quarantined(m.now)
             || record.is_slow(m.now)
             || self.silent_zones.contains(&worker.info.zone)
     }
 
     /// Returns whether a step may go to a worker, by its health and contact.
-    pub(crate) fn reaches(&self, m: Moment, reach: Reach, worker: &Worker, view: &View) -> bool {
-        if !view.is_usable() || view.record.rests(m.now) {
+    pub(crate) fn is_eligible(
+        &self,
+        m: Moment,
+        eligibility: Eligibility,
+        worker: &Worker,
+        view: &WorkerView,
+    ) -> bool {
+        if !view.is_usable() || view.health.is_in_backoff(m.now) {
             return false;
         }
         let last_began = || view.orders.values().map(|o| o.since).max();
         let may_try =
-            || !view.record.is_on_trial(m.now) || view.record.may_try(m.now, last_began());
-        match reach {
-            Reach::Good => !self.is_spared(m, worker, view) && may_try(),
-            Reach::Spared => may_try(),
-            Reach::All => true,
+            || !view.health.is_on_probation(m.now) || view.health.may_try(m.now, last_began());
+        match eligibility {
+            Eligibility::Preferred => !self.is_spared(m, worker, view) && may_try(),
+            Eligibility::Deprioritised => may_try(),
+            Eligibility::All => true,
         }
     }
 
     /// Determines whether any worker that could take work is deprioritised. If none is, plans need not
     /// scan all workers for each step. Without this a leader that has no contact to any worker yet
     /// would do so for every waiting step, and have no time left to process their answers.
-    pub(crate) fn find_spared(&mut self, m: Moment) {
-        let is_marked = |id: &WorkerId, view: &View| {
+    pub(crate) fn find_deprioritised(&mut self, m: Moment) {
+        let is_marked = |id: &WorkerId, view: &WorkerView| {
             let spared = |w: &Worker| self.is_spared(m, w, view);
-            view.record.is_on_trial(m.now) || self.replicated.worker(id).is_some_and(spared)
+            view.health.is_on_probation(m.now) || self.replicated.worker(id).is_some_and(spared)
         };
-        let spared = |(id, view): (&WorkerId, &View)| view.is_usable() && is_marked(id, view);
-        self.plan_state.spares_any = self.views.iter().any(spared);
+        let spared = |(id, view): (&WorkerId, &WorkerView)| view.is_usable() && is_marked(id, view);
+        self.plan_state.any_deprioritised = self.worker_views.iter().any(spared);
     }
 
     /// Returns the workers that a step may go to. Deprioritised workers are excluded only while another
     /// one may run the step, whatever capacity it has free, and none of the step's long-running
     /// tasks is overdue: a failed try costs such a task nothing.
-    pub(crate) fn reach(
+    pub(crate) fn eligibility(
         &self,
         m: Moment,
         key: &StepKey,
         spec: &StepSpec,
-        turn: Turn,
+        turn: PlanPass,
         by_advice: bool,
-    ) -> Reach {
-        let Some(job) = self.replicated.job(key.job) else { return Reach::Good };
-        if turn == Turn::Owed {
-            return Reach::All;
+    ) -> Eligibility {
+        let Some(job) = self.replicated.job(key.job) else { return Eligibility::Preferred };
+        if turn == PlanPass::Overdue {
+            return Eligibility::All;
         }
-        if !self.plan_state.spares_any {
-            return Reach::Good;
+        if !self.plan_state.any_deprioritised {
+            return Eligibility::Preferred;
         }
-        let barred = if by_advice { self.desk.barred(key) } else { None };
-        let is_good = |(id, view): (&WorkerId, &View)| {
-            let open = barred.is_none_or(|b| !b.contains(id));
+        let disallowed = if by_advice { self.advice_scheduler.disallowed(key) } else { None };
+        let is_good = |(id, view): (&WorkerId, &WorkerView)| {
+            let open = disallowed.is_none_or(|b| !b.contains(id));
             let worker = if open { self.replicated.worker(id) } else { None };
             worker.is_some_and(|w| {
-                self.is_suitable(m, Reach::Good, &job.service, spec, w, view)
-                    && !view.record.is_on_trial(m.now)
+                self.is_suitable(m, Eligibility::Preferred, &job.service, spec, w, view)
+                    && !view.health.is_on_probation(m.now)
                     && spec.size.fits(&w.info.capacity)
             })
         };
-        match self.views.iter().any(is_good) {
-            true => Reach::Good,
-            false => Reach::Spared,
+        match self.worker_views.iter().any(is_good) {
+            true => Eligibility::Preferred,
+            false => Eligibility::Deprioritised,
         }
     }
 }
--- a/components/dispatch/src/order.rs
+++ b/components/dispatch/src/worker_messages.rs
@@ -9,7 +9,7 @@
 
 /// What a worker announces of itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct WorkerNews {
+pub struct WorkerAnnouncement {
     /// Who it is and what it has.
     pub info: WorkerInfo,
     /// Whether it has said that it is leaving.
@@ -38,7 +38,7 @@
     /// The leave to run the step there, on queues with advice.
     pub ticket: Option<Name>,
     /// How long the answer is awaited.
-    pub answer_within: Millis,
+    pub answer_timeout: Millis,
 }
 
 /// End a run.
@@ -51,7 +51,7 @@
     /// The leader's term.
     pub fence: u64,
     /// How long the answer is awaited.
-    pub answer_within: Millis,
+    pub answer_timeout: Millis,
 }
 
 /// Renew the lease of everything that runs on a worker, and tell what runs and what has ended.
@@ -66,12 +66,12 @@
     /// How long the worker may wait for an end before it answers.
     pub wait: Millis,
     /// How much longer than that the answer is awaited.
-    pub answer_within: Millis,
+    pub answer_timeout: Millis,
 }
 
 /// A run as its worker lists it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RunRow {
+pub struct RunStatus {
     /// The task.
     pub task: TaskKey,
     /// The number of its run.
@@ -91,7 +91,7 @@
     /// The worker's clock.
     pub clock: Millis,
     /// What runs.
-    pub running: Vec<RunRow>,
+    pub running: Vec<RunStatus>,
     /// What has ended since [`RenewOrder::seen`], rising by number.
     pub ends: Vec<End>,
 }
--- a/components/dispatch/src/view.rs
+++ b/components/dispatch/src/worker_view.rs
@@ -5,11 +5,11 @@
 use clock::Millis;
 use workload::TaskKey;
 
-use crate::lease::Reading;
-use crate::losses::{Known, LostAt};
-use crate::order::RunRow;
+use crate::losses::{LossDetection, LossTime};
 use crate::speed::Progress;
-use crate::standing::Record;
+use crate::worker_clock::ClockReading;
+use crate::worker_health::WorkerHealth;
+use crate::worker_messages::RunStatus;
 
 /// How far an order to start or stop a run is.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -55,7 +55,7 @@
     pub(crate) stage: Stage,
     /// When it was last sent; `None` while a call is under way.
     pub(crate) retry_at: Option<Millis>,
-    pub(crate) tries: u32,
+    pub(crate) attempts: u32,
     /// When the run was first ordered.
     pub(crate) since: Millis,
     /// When the start was last sent.
@@ -65,57 +65,57 @@
 
 /// One worker.
 #[derive(Clone, Debug)]
-pub(crate) struct View {
+pub(crate) struct WorkerView {
     /// The number of its newest announcement.
-    pub(crate) news: u64,
+    pub(crate) announcement_number: u64,
     /// When it was last heard of, by announcement or answer.
-    pub(crate) heard_at: Millis,
+    pub(crate) last_contact: Millis,
     /// Whether it said that it is leaving.
     pub(crate) leaving: bool,
-    pub(crate) reading: Option<Reading>,
+    pub(crate) clock_reading: Option<ClockReading>,
     /// Whether it has reported in this term and answered the last renewal.
     pub(crate) in_contact: bool,
     /// Since when an order or a renewal has had no answer, with no sign of life since.
     pub(crate) silent_since: Option<Millis>,
     /// Whether a call has broken off since the last sign of life, before its time was over: its life has ended then,
     /// or its connection was reset.
-    pub(crate) broke_off: bool,
+    pub(crate) connection_broke: bool,
     /// Whether that was the first that was noticed.
-    pub(crate) broke_off_first: bool,
+    pub(crate) connection_broke_first: bool,
     /// When everything on it has surely lapsed, by our clock.
     pub(crate) lapses_at: Millis,
     /// Whether a renewal is under way or held.
-    pub(crate) renewing: bool,
+    pub(crate) renewal_in_flight: bool,
     /// When that is due to be answered.
     pub(crate) answer_due: Millis,
     pub(crate) renew_at: Millis,
     pub(crate) orders: BTreeMap<TaskKey, Order>,
     /// The newest row of each run.
-    pub(crate) rows: BTreeMap<TaskKey, RunRow>,
+    pub(crate) statuses: BTreeMap<TaskKey, RunStatus>,
     /// How fast each run comes on.
     pub(crate) progress: BTreeMap<TaskKey, Progress>,
-    pub(crate) record: Record,
+    pub(crate) health: WorkerHealth,
 }
 
-impl View {
-    pub(crate) fn new(now: Millis, lapses_at: Millis) -> View {
-        View {
-            news: 0,
-            heard_at: now,
+impl WorkerView {
+    pub(crate) fn new(now: Millis, lapses_at: Millis) -> WorkerView {
+        WorkerView {
+            announcement_number: 0,
+            last_contact: now,
             leaving: false,
-            reading: None,
+            clock_reading: None,
             in_contact: false,
             silent_since: None,
-            broke_off: false,
-            broke_off_first: false,
+            connection_broke: false,
+            connection_broke_first: false,
             lapses_at,
-            renewing: false,
+            renewal_in_flight: false,
             answer_due: now,
             renew_at: now,
             orders: BTreeMap::new(),
-            rows: BTreeMap::new(),
+            statuses: BTreeMap::new(),
             progress: BTreeMap::new(),
-            record: Record::default(),
+            health: WorkerHealth::default(),
         }
     }
 
@@ -126,18 +126,18 @@
 
     /// Tells whether time alone asks for something to be done: most workers just have a renewal waiting, and
     /// going into each of 3,200 of them took 2.4 ms of a processor at each tick.
-    pub(crate) fn wants_tending(&self, now: Millis) -> bool {
-        let renewal_due = !self.renewing && now >= self.renew_at;
+    pub(crate) fn needs_service(&self, now: Millis) -> bool {
+        let renewal_due = !self.renewal_in_flight && now >= self.renew_at;
         let order_due = |o: &Order| o.retry_at.is_some_and(|t| now >= t);
         renewal_due || now >= self.lapses_at || self.orders.values().any(order_due)
     }
 
     /// Forgets the calls under way and what was read of the worker, so that its next report tells all anew.
-    pub(crate) fn forget_calls(&mut self, now: Millis) {
-        self.news = 0;
-        self.reading = None;
+    pub(crate) fn reset_calls(&mut self, now: Millis) {
+        self.announcement_number = 0;
+        self.clock_reading = None;
         self.in_contact = false;
-        self.renewing = false;
+        self.renewal_in_flight = false;
         self.renew_at = now;
         let under_way = self
             .orders
@@ -147,38 +147,38 @@
     }
 
     /// Takes in a reading of the worker's clock.
-    pub(crate) fn read_clock(&mut self, now: Millis, clock: Millis) {
-        self.reading = Some(Reading { at: now, clock });
-        self.heard_at = now;
+    pub(crate) fn record_clock(&mut self, now: Millis, clock: Millis) {
+        self.clock_reading = Some(ClockReading { at: now, clock });
+        self.last_contact = now;
         self.silent_since = None;
-        self.broke_off = false;
+        self.connection_broke = false;
     }
 
     /// Notes that an order or a renewal that was due to be answered at some time got no answer.
-    pub(crate) fn note_silence(&mut self, now: Millis, due: Millis) {
-        let broke_off = now < due;
+    pub(crate) fn record_silence(&mut self, now: Millis, due: Millis) {
+        let connection_broke = now < due;
         if self.silent_since.is_none() {
             self.silent_since = Some(now);
-            self.broke_off_first = broke_off;
+            self.connection_broke_first = connection_broke;
         }
-        self.broke_off |= broke_off;
+        self.connection_broke |= connection_broke;
     }
 
     /// Gives when the worker was lost, if it is by now, and how well that is known.
-    pub(crate) fn lost_at(&self, now: Millis) -> LostAt {
-        let known = match (self.reading, self.broke_off_first) {
-            (None, _) => Known::BeforeTerm,
-            (Some(_), true) => Known::AtOnce,
-            (Some(_), false) => Known::ByTimeLimit,
+    pub(crate) fn loss_time(&self, now: Millis) -> LossTime {
+        let detection = match (self.clock_reading, self.connection_broke_first) {
+            (None, _) => LossDetection::BeforeTerm,
+            (Some(_), true) => LossDetection::ConnectionBroken,
+            (Some(_), false) => LossDetection::TimedOut,
         };
-        LostAt { silent_since: self.silent_since.unwrap_or(now), known }
+        LossTime { silent_since: self.silent_since.unwrap_or(now), detection }
     }
 
     /// Gives the deadline of a lease of `span` and notes it, or `None` before the clock was read.
-    pub(crate) fn grant(&mut self, now: Millis, span: Millis) -> Option<Millis> {
-        let reading = self.reading?;
-        let deadline = reading.deadline(now, span);
-        self.lapses_at = self.lapses_at.max(reading.surely_past(deadline));
+    pub(crate) fn grant_lease(&mut self, now: Millis, span: Millis) -> Option<Millis> {
+        let clock_reading = self.clock_reading?;
+        let deadline = clock_reading.deadline(now, span);
+        self.lapses_at = self.lapses_at.max(clock_reading.certainly_past(deadline));
         Some(deadline)
     }
 }
--- a/components/dispatch/src/workers.rs
+++ b/components/dispatch/src/workers.rs
@@ -10,63 +10,63 @@
 
 use crate::dispatcher::Dispatcher;
 use crate::input::Moment;
-use crate::limits::FORGET_WORKER;
-use crate::order::WorkerNews;
-use crate::silence::silent_zones;
-use crate::view::View;
+use crate::limits::SILENT_WORKER_RETENTION;
+use crate::silent_zones::silent_zones;
+use crate::worker_messages::WorkerAnnouncement;
+use crate::worker_view::WorkerView;
 
 /// How it is known that a worker's life is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum LifeEnd {
+pub(crate) enum IncarnationEnd {
     /// Another life answers at its address.
-    OtherLife,
+    Replaced,
     /// It runs nothing and was not heard of for long.
     Forgotten,
 }
 
-impl LifeEnd {
+impl IncarnationEnd {
     fn told_as(self) -> &'static str {
         match self {
-            LifeEnd::OtherLife => "another life answered",
-            LifeEnd::Forgotten => "silent for long and runs nothing",
+            IncarnationEnd::Replaced => "another life answered",
+            IncarnationEnd::Forgotten => "silent for long and runs nothing",
         }
     }
 }
 
 impl Dispatcher {
     /// Takes in a worker's announcement.
-    pub(crate) fn on_news(&mut self, m: Moment, news: WorkerNews) {
+    pub(crate) fn on_announcement(&mut self, m: Moment, news: WorkerAnnouncement) {
         let id = news.info.id.clone();
         match id.incarnation() {
-            Some(_) => self.heed_incarnation(m, &news.info),
+            Some(_) => self.apply_incarnation(m, &news.info),
             // Passed on by an instance that does not read incarnations yet: the worker itself tells its own.
             None if self.knows_incarnation(&id) => return,
             None => {}
         }
-        if !self.views.contains_key(&id) && !self.is_configured(&news.info.service) {
-            self.note_stranger(m, news);
+        if !self.worker_views.contains_key(&id) && !self.is_configured(&news.info.service) {
+            self.record_unconfigured(m, news);
             return;
         }
-        if !self.views.contains_key(&id) {
+        if !self.worker_views.contains_key(&id) {
             // An older life on the same machine is not taken for gone: news may be old and come
             // late. Its address tells, by the answer of the new life, or its lease.
             self.propose(Command::WorkerJoined(news.info.clone()));
-            self.views.insert(id.clone(), View::new(m.now, m.now));
+            self.worker_views.insert(id.clone(), WorkerView::new(m.now, m.now));
             let details = format!("address={} zone={}", news.info.address, news.info.zone);
-            self.note(&kinds::WORKER_JOINED, &id, details);
+            self.log_event(&kinds::WORKER_JOINED, &id, details);
         }
-        let Some(view) = self.views.get_mut(&id) else { return };
-        if news.number < view.news {
+        let Some(view) = self.worker_views.get_mut(&id) else { return };
+        if news.number < view.announcement_number {
             return;
         }
-        view.news = news.number;
-        view.heard_at = m.now;
+        view.announcement_number = news.number;
+        view.last_contact = m.now;
         self.take_capacity(&id, news.info.capacity);
-        let Some(view) = self.views.get_mut(&id) else { return };
+        let Some(view) = self.worker_views.get_mut(&id) else { return };
         if news.leaving && !view.leaving {
             view.leaving = true;
             let left = news.remaining.unwrap_or_default().0;
-            self.note(&kinds::WORKER_LEAVES, &id, format!("remaining_ms={left}"));
+            self.log_event(&kinds::WORKER_LEAVES, &id, format!("remaining_ms={left}"));
             self.clear_leaving(m, &id, news.remaining);
         }
     }
@@ -76,7 +76,7 @@
         let Some(had) = self.replicated.worker(id).map(|w| w.info.capacity) else { return };
         if had != capacity {
             self.propose(Command::Resized { worker: id.clone(), capacity });
-            self.note(&kinds::WORKER_RESIZED, id, format!("had={had:?} has={capacity:?}"));
+            self.log_event(&kinds::WORKER_RESIZED, id, format!("had={had:?} has={capacity:?}"));
         }
     }
 
@@ -87,7 +87,8 @@
         let stays = remaining.unwrap_or(self.limits.leaving_notice);
         for (task, run) in runs {
             let Some(spec) = self.replicated.step_spec(&task.step) else { continue };
-            let since = self.views.get(id).and_then(|v| v.orders.get(&task)).map(|o| o.since);
+            let since =
+                self.worker_views.get(id).and_then(|v| v.orders.get(&task)).map(|o| o.since);
             let ran = m.now.since(since.unwrap_or(m.now));
             let too_long = spec.estimate.since(ran) > stays;
             if spec.long_running || (too_long && spec.checkpointing) {
@@ -98,40 +99,41 @@
 
     /// Takes in that a worker ends now.
     pub(crate) fn on_left(&mut self, m: Moment, id: &WorkerId) {
-        self.strangers.remove(id);
+        self.unconfigured_workers.remove(id);
         // Without an incarnation it may come late, from a life before: only one that has said that it leaves is meant.
-        let is_meant = |life, v: &View| life == id || (id.may_refer_to(life) && v.leaving);
-        for (_, view) in self.views.iter_mut().filter(|(life, v)| is_meant(*life, v)) {
+        let is_meant = |life, v: &WorkerView| life == id || (id.may_refer_to(life) && v.leaving);
+        for (_, view) in self.worker_views.iter_mut().filter(|(life, v)| is_meant(*life, v)) {
             view.leaving = true;
             view.renew_at = view.renew_at.min(m.now);
         }
     }
 
     /// Ends a life of a worker with all that ran there.
-    pub(crate) fn worker_gone(&mut self, id: &WorkerId, end: LifeEnd) {
+    pub(crate) fn worker_gone(&mut self, id: &WorkerId, end: IncarnationEnd) {
         let why = end.told_as();
         self.tell_lost_runs(id, why);
-        let Some(view) = self.views.get(id) else { return };
+        let Some(view) = self.worker_views.get(id) else { return };
         let (leaving, saved) = (view.leaving, saved(view));
         match (leaving, end) {
             (true, _) => self.worker_left(id, saved),
-            (false, LifeEnd::OtherLife) => self.worker_crashed(id, saved),
-            (false, LifeEnd::Forgotten) => self.worker_lost(id),
+            (false, IncarnationEnd::Replaced) => self.worker_crashed(id, saved),
+            (false, IncarnationEnd::Forgotten) => self.worker_lost(id),
         }
-        self.views.remove(id);
-        self.note(&kinds::WORKER_GONE, id, format!("why={why:?}"));
+        self.worker_views.remove(id);
+        self.log_event(&kinds::WORKER_GONE, id, format!("why={why:?}"));
     }
 
     /// Ends the life of a worker that had said it would leave: nothing that ran there is suspect.
     fn worker_left(&mut self, id: &WorkerId, saved: Vec<(TaskKey, Arc<str>)>) {
-        self.sweep_runs_of(id);
+        self.clean_up_runs_of(id);
         self.propose(Command::WorkerGone { worker: id.clone(), saved });
     }
 
     /// Tells which runs end with a worker's life or lease. The worker can list them no more, so nothing else
     /// tells which task was there when it ended, how young its run was, and what ran beside it.
     fn tell_lost_runs(&mut self, id: &WorkerId, why: &str) {
-        let (Some(worker), Some(view)) = (self.replicated.worker(id), self.views.get(id)) else {
+        let (Some(worker), Some(view)) = (self.replicated.worker(id), self.worker_views.get(id))
+        else {
             return;
         };
         let now = self.now();
@@ -147,20 +149,20 @@
             (*task, details)
         });
         for (task, details) in lost.collect::<Vec<_>>() {
-            self.note(&kinds::RUN_LOST, task, details);
+            self.log_event(&kinds::RUN_LOST, task, details);
         }
     }
 
-    pub(crate) fn sweep_runs_of(&mut self, id: &WorkerId) {
+    pub(crate) fn clean_up_runs_of(&mut self, id: &WorkerId) {
         let Some(worker) = self.replicated.worker(id) else { return };
         let jobs: Vec<JobId> = worker.runs.keys().map(|k| k.step.job).collect();
-        self.sweep.extend(jobs);
+        self.jobs_to_clean_up.extend(jobs);
     }
 
     /// Renews leases that are due, sends again what got no answer, and gives up what has lapsed.
-    pub(crate) fn tend_workers(&mut self, m: Moment) {
+    pub(crate) fn maintain_workers(&mut self, m: Moment) {
         self.watch_zones(m);
-        let due = self.views.iter().filter(|(_, v)| v.wants_tending(m.now));
+        let due = self.worker_views.iter().filter(|(_, v)| v.needs_service(m.now));
         let ids: Vec<WorkerId> = due.map(|(id, _)| id.clone()).collect();
         for id in ids {
             self.tend_worker(m, &id);
@@ -170,10 +172,11 @@
     /// Finds out which zones have just fallen silent.
     fn watch_zones(&mut self, m: Moment) {
         let on = self.limits.mechanisms.avoids_silent_zones;
-        self.silent_zones = match on && self.views.values().any(|v| v.silent_since.is_some()) {
+        self.silent_zones = match on && self.worker_views.values().any(|v| v.silent_since.is_some())
+        {
             true => {
                 let zone = |id: &WorkerId| self.replicated.worker(id).map(|w| &w.info.zone);
-                let workers = self.views.iter().filter_map(|(id, v)| Some((zone(id)?, v)));
+                let workers = self.worker_views.iter().filter_map(|(id, v)| Some((zone(id)?, v)));
                 silent_zones(m.now, workers)
             }
             false => BTreeSet::new(),
@@ -182,16 +185,16 @@
 
     fn tend_worker(&mut self, m: Moment, id: &WorkerId) {
         let runs = self.replicated.worker(id).is_some_and(|w| !w.runs.is_empty());
-        let Some(view) = self.views.get(id) else { return };
+        let Some(view) = self.worker_views.get(id) else { return };
         if runs && m.now >= view.lapses_at {
             self.lapse(id);
         }
-        let Some(view) = self.views.get(id) else { return };
-        if !runs && !view.in_contact && m.now.since(view.heard_at) >= FORGET_WORKER {
-            self.worker_gone(id, LifeEnd::Forgotten);
+        let Some(view) = self.worker_views.get(id) else { return };
+        if !runs && !view.in_contact && m.now.since(view.last_contact) >= SILENT_WORKER_RETENTION {
+            self.worker_gone(id, IncarnationEnd::Forgotten);
             return;
         }
-        if !view.renewing && m.now >= view.renew_at {
+        if !view.renewal_in_flight && m.now >= view.renew_at {
             self.send_renewal(m, id);
         }
         self.resend_orders(m, id);
@@ -199,23 +202,23 @@
 
     fn lapse(&mut self, id: &WorkerId) {
         self.tell_lost_runs(id, "lapsed");
-        let crash_suspects = self.blame_for_silence(id);
-        let Some(view) = self.views.get_mut(id) else { return };
+        let crash_suspects = self.suspects_of_silence(id);
+        let Some(view) = self.worker_views.get_mut(id) else { return };
         let suspected = (!view.leaving && !crash_suspects.is_empty())
             .then(|| Command::CrashSuspected { worker: id.clone(), crash_suspects });
         let command = Command::Lapsed { worker: id.clone(), saved: saved(view) };
         view.orders.clear();
-        view.rows.clear();
+        view.statuses.clear();
         view.in_contact = false;
-        self.sweep_runs_of(id);
+        self.clean_up_runs_of(id);
         suspected.into_iter().for_each(|c| self.propose(c));
         self.propose(command);
-        self.note(&kinds::WORKER_LAPSED, id, format!("term={}", self.term));
+        self.log_event(&kinds::WORKER_LAPSED, id, format!("term={}", self.term));
     }
 }
 
 /// Gives the newest progress known of a worker's runs.
-fn saved(view: &View) -> Vec<(TaskKey, Arc<str>)> {
-    let kept = view.rows.iter().filter(|(_, r)| !r.checkpoint.is_empty());
+fn saved(view: &WorkerView) -> Vec<(TaskKey, Arc<str>)> {
+    let kept = view.statuses.iter().filter(|(_, r)| !r.checkpoint.is_empty());
     kept.map(|(k, r)| (*k, r.checkpoint.clone())).collect()
 }
--- a/components/dispatch/tests/advice.rs
+++ b/components/dispatch/tests/advice.rs
@@ -80,7 +80,7 @@
     assert_eq!(b.asks(Some(1)).len(), 1);
     b.pass(Millis(300));
     b.pass(Millis(100));
-    let helpers: Vec<String> = b.asks(Some(1)).iter().map(|a| a.helper.to_string()).collect();
+    let helpers: Vec<String> = b.asks(Some(1)).iter().map(|a| a.caller.to_string()).collect();
     assert_eq!(helpers.len(), 2);
     assert_ne!(helpers[0], helpers[1]);
 }
--- a/components/dispatch/tests/advice_load.rs
+++ b/components/dispatch/tests/advice_load.rs
@@ -6,7 +6,7 @@
 
 use clock::Millis;
 use common::{Bench, spec, step};
-use dispatch::AdviceAsk;
+use dispatch::AdviceRequest;
 use workload::StepSpec;
 
 const INSTANCES: usize = 16;
@@ -38,8 +38,8 @@
 
 /// Gives the instances that make long calls, as far as these are not answered.
 fn busy_with_long_calls(b: &Bench) -> BTreeSet<String> {
-    let long = |a: &AdviceAsk| a.step.job.0 >= 0x1000;
-    b.asks(None).into_iter().filter(long).map(|a| a.helper.to_string()).collect()
+    let long = |a: &AdviceRequest| a.step.job.0 >= 0x1000;
+    b.asks(None).into_iter().filter(long).map(|a| a.caller.to_string()).collect()
 }
 
 #[test]
@@ -72,7 +72,7 @@
             b.submit(id, spec(vec![step(1)]));
         }
         b.pass(Millis(20));
-        let asks: Vec<AdviceAsk> = ids.flat_map(|id| b.asks(Some(id))).collect();
+        let asks: Vec<AdviceRequest> = ids.flat_map(|id| b.asks(Some(id))).collect();
         for ask in asks {
             let allowed: Vec<String> = ask.workers.iter().map(ToString::to_string).collect();
             b.advise(&ask, &allowed.iter().map(String::as_str).collect::<Vec<_>>());
--- a/components/dispatch/tests/capacity.rs
+++ b/components/dispatch/tests/capacity.rs
@@ -8,13 +8,13 @@
 use clock::Millis;
 use common::setups::wide;
 use common::{Bench, end, news, spec, step, task};
-use dispatch::{Input, WorkerNews};
+use dispatch::{Input, WorkerAnnouncement};
 use model::Size;
 use workload::{EndKind, StepSpec};
 
 /// Lets a worker announce itself with so many cores, in its announcement of a number.
 fn announce(b: &mut Bench, name: &str, cores: u64, number: u64) {
-    b.feed(Input::News(WorkerNews { number, ..news(name, cores) }));
+    b.feed(Input::Announcement(WorkerAnnouncement { number, ..news(name, cores) }));
     b.commit();
 }
 
@@ -74,7 +74,7 @@
     let mut b = with_one_worker();
     b.submit(1, spec(vec![step(8)]));
     assert!(b.starts().is_empty());
-    b.feed(Input::News(WorkerNews { number: 2, ..news("w", 4) }));
+    b.feed(Input::Announcement(WorkerAnnouncement { number: 2, ..news("w", 4) }));
     b.commit();
     assert!(b.starts().len() <= 4, "{} starts", b.starts().len());
     b.pass(Millis(50));
--- a/components/dispatch/tests/common/fleet.rs
+++ b/components/dispatch/tests/common/fleet.rs
@@ -11,7 +11,9 @@
 use std::sync::Arc;
 
 use clock::Millis;
-use dispatch::{Action, AdviceAsk, Answer, Call, CallError, Input, StartOrder, Verb, WorkerNews};
+use dispatch::{
+    Action, AdviceRequest, Answer, Call, CallError, Input, StartOrder, Verb, WorkerAnnouncement,
+};
 use model::{InstanceId, Size};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -94,7 +96,7 @@
 /// A call for advice under way.
 struct Asked {
     due: Millis,
-    ask: AdviceAsk,
+    ask: AdviceRequest,
 }
 
 pub struct Fleet {
@@ -215,7 +217,7 @@
     fn news(&mut self, info: WorkerInfo, number: u64) {
         let leaving = number > 1;
         let remaining = leaving.then_some(NOTICE);
-        self.handle(Input::News(WorkerNews { info, leaving, remaining, number }));
+        self.handle(Input::Announcement(WorkerAnnouncement { info, leaving, remaining, number }));
     }
 
     /// Has a worker announce itself again, as it does every few seconds.
@@ -394,10 +396,10 @@
                     }
                 }
                 Action::Start { worker, order, .. } if self.is_silent(worker) => {
-                    self.unanswered.push((self.bench.now + order.answer_within, action));
+                    self.unanswered.push((self.bench.now + order.answer_timeout, action));
                 }
                 Action::Stop { worker, order, .. } if self.is_silent(worker) => {
-                    self.unanswered.push((self.bench.now + order.answer_within, action));
+                    self.unanswered.push((self.bench.now + order.answer_timeout, action));
                 }
                 Action::Start { worker, order, .. } => {
                     let result = self.start(&self.life_of(worker), order);
@@ -490,13 +492,13 @@
         self.committing.extend(batches.map(|(number, commands)| (due, number, commands)));
         for action in std::mem::take(&mut self.bench.actions) {
             match action {
-                Action::Ask(ask) => self.ask(ask),
+                Action::RequestAdvice(ask) => self.ask(ask),
                 Action::Reply { token, answer: Answer::Accepted } => {
                     if let Some(job) = self.jobs.get_mut(&JobId(token)) {
                         job.accepted = true;
                     }
                 }
-                Action::Note { kind, subject, details } => {
+                Action::LogEvent { kind, subject, details } => {
                     let text = format!("{:?} {} {subject} {details}", self.bench.now, kind.name);
                     self.notes.push((subject, text));
                 }
@@ -507,11 +509,11 @@
     }
 
     /// The service takes the calls of an instance one after the other.
-    fn ask(&mut self, ask: AdviceAsk) {
+    fn ask(&mut self, ask: AdviceRequest) {
         let is_quick = self.jobs.get(&ask.step.job).is_some_and(|j| j.path.starts_with("/q/"));
         let (base, each) = if is_quick { SHORT_CALL } else { LONG_CALL };
         let takes = Millis((base + each * ask.workers.len() as u64) / 1_000);
-        let free_at = self.busy_until.entry(ask.helper.clone()).or_default();
+        let free_at = self.busy_until.entry(ask.caller.clone()).or_default();
         let due = self.bench.now.max(*free_at) + takes;
         *free_at = due;
         self.asked.push(Asked { due, ask });
--- a/components/dispatch/tests/common/fleet/lives.rs
+++ b/components/dispatch/tests/common/fleet/lives.rs
@@ -2,7 +2,7 @@
 //! no births may begin to.
 
 use clock::Millis;
-use dispatch::{CallError, WorkerNews};
+use dispatch::{CallError, WorkerAnnouncement};
 use workload::WorkerId;
 
 use super::{Fleet, Input, STEP};
@@ -43,7 +43,12 @@
     /// Lets an announcement of a life that is over come late.
     pub fn announce_late(&mut self, id: &WorkerId) {
         let Some(info) = self.hosts.get(id).map(|h| h.info.clone()) else { return };
-        self.handle(Input::News(WorkerNews { info, leaving: false, remaining: None, number: 1 }));
+        self.handle(Input::Announcement(WorkerAnnouncement {
+            info,
+            leaving: false,
+            remaining: None,
+            number: 1,
+        }));
     }
 
     /// Gives the workers whose lives are over.
--- a/components/dispatch/tests/common/host.rs
+++ b/components/dispatch/tests/common/host.rs
@@ -31,7 +31,7 @@
 struct Held {
     sent_at: Millis,
     answer_at: Millis,
-    answer_within: Millis,
+    answer_timeout: Millis,
 }
 
 pub struct Host {
@@ -182,8 +182,8 @@
         if !self.fake.silent {
             self.fake.renew(order)?;
         }
-        let (answer_at, answer_within) = (now + order.wait, order.answer_within);
-        self.held = Some(Held { sent_at, answer_at, answer_within });
+        let (answer_at, answer_timeout) = (now + order.wait, order.answer_timeout);
+        self.held = Some(Held { sent_at, answer_at, answer_timeout });
         Ok(())
     }
 
@@ -196,7 +196,7 @@
             return Some(self.answered(sent_at, Err(CallError::Refused(Refusal::OtherLife))));
         }
         if self.fake.silent {
-            let given_up = self.crashed || now >= held.answer_at + held.answer_within;
+            let given_up = self.crashed || now >= held.answer_at + held.answer_timeout;
             return given_up.then(|| self.answered(sent_at, Err(super::SILENT())));
         }
         if self.fake.ends.is_empty() && now < held.answer_at {
--- a/components/dispatch/tests/common/mod.rs
+++ b/components/dispatch/tests/common/mod.rs
@@ -15,8 +15,8 @@
 
 use clock::Millis;
 use dispatch::{
-    Action, AdviceAsk, Answer, Call, CallError, Dispatcher, Input, Limits, Moment, Report, RunRow,
-    Setup, StartOrder, Verb, WorkerNews,
+    Action, AdviceRequest, Answer, Call, CallError, Dispatcher, Input, Limits, Moment, Report,
+    RunStatus, Setup, StartOrder, Verb, WorkerAnnouncement,
 };
 use errors::Result;
 use model::{InstanceId, Name, Size};
@@ -117,8 +117,8 @@
     WorkerId::from(name)
 }
 
-pub fn news(name: &str, cores: u64) -> WorkerNews {
-    WorkerNews {
+pub fn news(name: &str, cores: u64) -> WorkerAnnouncement {
+    WorkerAnnouncement {
         info: WorkerInfo {
             id: worker(name),
             machine: format!("m-{name}").as_str().into(),
@@ -138,8 +138,8 @@
     End { number, task, run, kind, checkpoint: Arc::from("") }
 }
 
-pub fn row(task: TaskKey, run: u32) -> RunRow {
-    RunRow { task, run, checkpoint: Arc::from(""), percent: 0, usage: None }
+pub fn row(task: TaskKey, run: u32) -> RunStatus {
+    RunStatus { task, run, checkpoint: Arc::from(""), percent: 0, usage: None }
 }
 
 pub const SILENT: fn() -> CallError = || CallError::Silent("no answer".into());
@@ -220,7 +220,7 @@
 
     /// Calls on behalf of whoever holds a key.
     pub fn call_with(&mut self, credential: Credential, path: &str, verb: Verb) -> u64 {
-        self.call(Call::of_caller(("h".into(), path.into()), 100, verb, credential))
+        self.call(Call::from_caller(("h".into(), path.into()), 100, verb, credential))
     }
 
     /// Hands in a job on behalf of whoever holds a key.
@@ -247,21 +247,21 @@
 
     /// Says which instances can call for advice.
     pub fn helpers(&mut self, names: &[&str]) {
-        self.feed(Input::Helpers(names.iter().map(|n| InstanceId::from(*n)).collect()));
+        self.feed(Input::AdviceCallers(names.iter().map(|n| InstanceId::from(*n)).collect()));
     }
 
     /// Gives the calls for advice that have left, or only those on one job.
-    pub fn asks(&self, of: Option<u64>) -> Vec<AdviceAsk> {
+    pub fn asks(&self, of: Option<u64>) -> Vec<AdviceRequest> {
         let ask = |a: &Action| match a {
-            Action::Ask(ask) => Some(ask.clone()),
+            Action::RequestAdvice(ask) => Some(ask.clone()),
             _ => None,
         };
-        let about = |a: &AdviceAsk| of.is_none_or(|n| a.step.job == JobId(n));
+        let about = |a: &AdviceRequest| of.is_none_or(|n| a.step.job == JobId(n));
         self.actions.iter().filter_map(ask).filter(about).collect()
     }
 
     /// Answers a call for advice: these workers are allowed.
-    pub fn advise(&mut self, ask: &AdviceAsk, allowed: &[&str]) {
+    pub fn advise(&mut self, ask: &AdviceRequest, allowed: &[&str]) {
         let allowed = allowed.iter().map(|w| (worker(w), "ticket".into())).collect();
         let valid = Some(Millis(2_000));
         self.feed(Input::Advised { id: ask.id, valid, allowed: Some(allowed) });
@@ -281,16 +281,16 @@
     }
 
     /// Lets a worker join as it announces itself.
-    pub fn join_as(&mut self, news: WorkerNews) {
+    pub fn join_as(&mut self, news: WorkerAnnouncement) {
         let id = news.info.id.clone();
-        self.feed(Input::News(news));
+        self.feed(Input::Announcement(news));
         self.commit();
         self.pass(Millis(1));
         self.report(&id.0, vec![], vec![]);
     }
 
     /// Lets a worker answer a renewal sent now.
-    pub fn report(&mut self, name: &str, running: Vec<RunRow>, ends: Vec<End>) {
+    pub fn report(&mut self, name: &str, running: Vec<RunStatus>, ends: Vec<End>) {
         let report = Report { clock: self.now, running, ends };
         let sent_at = self.now;
         self.feed(Input::Renewed { worker: worker(name), sent_at, result: Ok(report) });
--- a/components/dispatch/tests/common/world.rs
+++ b/components/dispatch/tests/common/world.rs
@@ -120,7 +120,7 @@
 
     fn announce(&mut self, name: &str) {
         self.workers.insert(name.to_string(), FakeWorker::default());
-        self.bench.feed(Input::News(super::news(name, CORES)));
+        self.bench.feed(Input::Announcement(super::news(name, CORES)));
     }
 
     /// Carries out what the dispatcher wants done, each order with its own luck.
@@ -327,7 +327,7 @@
                     seen: 0,
                     deadline: None,
                     wait: Millis::ZERO,
-                    answer_within: Millis(400),
+                    answer_timeout: Millis(400),
                 },
             };
             if !self.workers[&name].silent {
@@ -364,7 +364,7 @@
         let committed = self.bench.committed.clone();
         self.bench = Bench::take_over(committed, self.term, self.bench.now);
         for name in self.workers.keys().cloned().collect::<Vec<_>>() {
-            self.bench.feed(Input::News(super::news(&name, CORES)));
+            self.bench.feed(Input::Announcement(super::news(&name, CORES)));
         }
     }
 
--- a/components/dispatch/tests/lasting_waits.rs
+++ b/components/dispatch/tests/lasting_waits.rs
@@ -10,7 +10,7 @@
 use common::fleet::{Fleet, Kind, STEP};
 use common::mix::{self, Mix};
 use common::{Bench, end, job, news, row, spec, step, task};
-use dispatch::{CallError, Figures, Input, Refusal, Verb, WorkerNews};
+use dispatch::{CallError, Figures, Input, Refusal, Verb, WorkerAnnouncement};
 use model::Size;
 use rstest::rstest;
 use workload::{EndKind, JobSpec, StepSpec, TaskKey, WorkerId};
@@ -22,8 +22,8 @@
 
 /// Returns how many long-running tasks wait, and how long the first of them has waited.
 fn waiting(b: &Bench) -> (u64, Millis) {
-    let Figures { lasting_waiting, lasting_longest_wait, .. } = b.dispatcher.figures();
-    (lasting_waiting, lasting_longest_wait)
+    let Figures { long_running_waiting, long_running_max_wait, .. } = b.dispatcher.figures();
+    (long_running_waiting, long_running_max_wait)
 }
 
 #[test]
@@ -42,7 +42,11 @@
 
 /// Has the worker announce that it leaves.
 fn leaves(b: &mut Bench, name: &str, cores: u64) {
-    b.feed(Input::News(WorkerNews { leaving: true, number: 2, ..news(name, cores) }));
+    b.feed(Input::Announcement(WorkerAnnouncement {
+        leaving: true,
+        number: 2,
+        ..news(name, cores)
+    }));
 }
 
 fn fails(b: &mut Bench) {
--- a/components/dispatch/tests/late_orders.rs
+++ b/components/dispatch/tests/late_orders.rs
@@ -47,7 +47,7 @@
 fn leave(b: &mut Bench, name: &str) {
     let mut leaving = news(name, 4);
     (leaving.leaving, leaving.number) = (true, 2);
-    b.feed(Input::News(leaving));
+    b.feed(Input::Announcement(leaving));
     b.commit();
 }
 
--- a/components/dispatch/tests/lives.rs
+++ b/components/dispatch/tests/lives.rs
@@ -6,7 +6,7 @@
 
 use clock::Millis;
 use common::{Bench, SILENT, end, news, row, spec, step, task, worker};
-use dispatch::{CallError, Input, Report, WorkerNews};
+use dispatch::{CallError, Input, Report, WorkerAnnouncement};
 use workload::{EndKind, JobState, WorkerId};
 
 const BORN: u64 = 1_790_000_000_000;
@@ -38,15 +38,15 @@
 }
 
 /// Returns the announcement of an incarnation, at the address that all incarnations of the worker have.
-fn news_of(life: &WorkerId, number: u64) -> WorkerNews {
-    let mut news = WorkerNews { number, ..news(name(life), 8) };
+fn news_of(life: &WorkerId, number: u64) -> WorkerAnnouncement {
+    let mut news = WorkerAnnouncement { number, ..news(name(life), 8) };
     news.info.address = "w:1".into();
     news
 }
 
 /// Has the worker announce its start time.
 fn announce(b: &mut Bench, life: &WorkerId, number: u64) {
-    b.feed(Input::News(news_of(life, number)));
+    b.feed(Input::Announcement(news_of(life, number)));
     b.commit();
 }
 
@@ -133,7 +133,7 @@
     let (mut b, life) = (with_a_job_that_runs(), life(BORN));
     let mut moved = news_of(&life, 1);
     moved.info.address = "elsewhere:1".into();
-    b.feed(Input::News(moved));
+    b.feed(Input::Announcement(moved));
     b.commit();
     let called = |b: &Bench| b.committed.worker(&life).map(|w| w.info.address.clone());
     assert_eq!(called(&b).as_deref(), Some("elsewhere:1"));
@@ -146,7 +146,7 @@
     let mut b = with_a_job_that_runs();
     let mut moved = news_of(&life(BORN), 1);
     moved.info.address = "elsewhere:1".into();
-    b.feed(Input::News(moved));
+    b.feed(Input::Announcement(moved));
     answer(&mut b, &life(BORN));
     let starts = b.starts().len();
     b.submit(3, spec(vec![step(1)]));
@@ -160,7 +160,7 @@
 fn announcements_without_the_birth_make_no_second_worker_of_one_that_is_known() {
     let mut b = Bench::new("");
     announce(&mut b, &life(BORN), 1);
-    b.feed(Input::News(WorkerNews { number: 7, ..news("w", 8) }));
+    b.feed(Input::Announcement(WorkerAnnouncement { number: 7, ..news("w", 8) }));
     b.commit();
     assert_eq!(b.committed.workers().keys().collect::<Vec<_>>(), [&life(BORN)]);
 }
@@ -169,10 +169,10 @@
 fn the_next_life_takes_work_whatever_the_one_before_has_said() {
     let mut b = Bench::new("");
     let (first, next) = (life(BORN), life(BORN - 5_000));
-    let leaving = WorkerNews { leaving: true, ..news_of(&first, 50) };
+    let leaving = WorkerAnnouncement { leaving: true, ..news_of(&first, 50) };
     announce(&mut b, &first, 1);
     b.report(name(&first), vec![], vec![]);
-    b.feed(Input::News(leaving));
+    b.feed(Input::Announcement(leaving));
     // Its wall clock was set back in the meantime.
     announce(&mut b, &next, 1);
     // The last announcement of the earlier incarnation comes late, and does not name the incarnation.
--- a/components/dispatch/tests/organisations.rs
+++ b/components/dispatch/tests/organisations.rs
@@ -67,7 +67,7 @@
 ) {
     let mut b = Bench::new(TWO);
     submit_to(&mut b, with_key("key-a"), PATH);
-    let look = b.call_with(with_key(key), PATH, Verb::Look);
+    let look = b.call_with(with_key(key), PATH, Verb::Query);
     let cancel = b.call_with(with_key(key), PATH, Verb::Cancel);
     b.commit();
     assert_eq!(b.answer(look), Some(&looked));
@@ -91,12 +91,12 @@
     submit_to(&mut b, with_key("key-a"), PATH);
     b.publish(2, "org=a:4000:1: org=b:0:1:key-b,key-a");
     // An answer that depends on the new configuration waits until the configuration is committed.
-    let look = b.call_with(with_key("other-a"), PATH, Verb::Look);
+    let look = b.call_with(with_key("other-a"), PATH, Verb::Query);
     assert_eq!(b.answer(look), None);
     b.commit();
     assert_eq!(b.answer(look), Some(&Answer::NoKey));
     // The key now belongs to another organisation, and the job does not.
-    let look = b.call_with(with_key("key-a"), PATH, Verb::Look);
+    let look = b.call_with(with_key("key-a"), PATH, Verb::Query);
     assert_eq!(b.answer(look), Some(&Answer::NoJob));
     assert_eq!(b.starts().len(), 1);
 }
@@ -106,7 +106,7 @@
     let mut b = Bench::new(TWO);
     submit_to(&mut b, with_key("key-a"), PATH);
     let mut b = Bench::take_over(b.committed, 2, b.now + Millis(100));
-    let look = |b: &mut Bench, key| b.call_with(with_key(key), PATH, Verb::Look);
+    let look = |b: &mut Bench, key| b.call_with(with_key(key), PATH, Verb::Query);
     let (own, other, unknown) =
         (look(&mut b, "other-a"), look(&mut b, "key-b"), look(&mut b, "key-c"));
     assert_eq!(b.answer(own), Some(&Answer::State(JobState::Queued)));
--- a/components/dispatch/tests/rules.rs
+++ b/components/dispatch/tests/rules.rs
@@ -195,7 +195,7 @@
     // A late announcement of an earlier incarnation at the same address.
     let mut old = news("w0", 4);
     old.info.machine = news("w1", 4).info.machine;
-    b.feed(Input::News(old));
+    b.feed(Input::Announcement(old));
     b.commit();
     assert!(b.committed.worker(&worker("w1")).is_some());
     assert_eq!(b.starts().len(), 1);
@@ -296,7 +296,7 @@
     let mut leaving = news("w1", 4);
     leaving.leaving = true;
     leaving.number = 2;
-    b.feed(Input::News(leaving));
+    b.feed(Input::Announcement(leaving));
     b.commit();
     b.report("w1", vec![], vec![]);
     b.commit();
@@ -323,7 +323,7 @@
 #[test]
 fn advice_is_asked_for_at_once_and_only_allowed_workers_are_used() {
     let mut b = Bench::new("advice");
-    b.feed(Input::Helpers(["e1".into()].into_iter().collect()));
+    b.feed(Input::AdviceCallers(["e1".into()].into_iter().collect()));
     b.join("w1", 4);
     b.join("w2", 4);
     b.submit(1, spec(vec![step(2)]));
@@ -331,7 +331,7 @@
         .actions
         .iter()
         .filter_map(|a| match a {
-            dispatch::Action::Ask(ask) => Some(ask.clone()),
+            dispatch::Action::RequestAdvice(ask) => Some(ask.clone()),
             _ => None,
         })
         .collect();
@@ -399,14 +399,14 @@
 fn callers_are_told_what_their_call_came_to() {
     let mut b = Bench::new("");
     let id = "/q/00000000000000aa";
-    let unknown = b.call_path(id, Verb::Look);
-    let elsewhere = b.call_path("/other/00000000000000aa", Verb::Look);
+    let unknown = b.call_path(id, Verb::Query);
+    let elsewhere = b.call_path("/other/00000000000000aa", Verb::Query);
     let misnamed = b.call_path("/q/xyz", Verb::Submit(spec(vec![step(1)])));
     let empty = b.call_path(id, Verb::Submit(spec(vec![])));
     b.submit(0xbb, spec(vec![step(1)]));
     b.commit();
-    let pending = b.call_path("/q/", Verb::Look);
-    let state = b.call_path("/q/00000000000000bb", Verb::Look);
+    let pending = b.call_path("/q/", Verb::Query);
+    let state = b.call_path("/q/00000000000000bb", Verb::Query);
     assert_eq!(b.answer(unknown), Some(&Answer::NoJob));
     assert_eq!(b.answer(elsewhere), Some(&Answer::NoQueue));
     assert!(matches!(b.answer(misnamed), Some(Answer::Invalid(_))));
@@ -488,7 +488,7 @@
     }
     b.submit(41, spec(vec![step(1)]));
     b.commit();
-    b.starts().pop().map_or(Millis::ZERO, |(_, order)| order.answer_within)
+    b.starts().pop().map_or(Millis::ZERO, |(_, order)| order.answer_timeout)
 }
 
 #[test]
@@ -514,7 +514,7 @@
     b.report("w1", vec![], vec![]);
     b.commit();
     let renewal = |a: &Action| match a {
-        Action::Renew { order, .. } => Some(order.answer_within),
+        Action::Renew { order, .. } => Some(order.answer_timeout),
         _ => None,
     };
     assert_eq!(b.actions.iter().filter_map(renewal).next_back(), Some(Millis(120)));
@@ -562,7 +562,7 @@
     b.join_as(at_one_address("new", 1));
     b.submit(1, spec(vec![step(2)]));
     b.commit();
-    b.feed(Input::News(at_one_address("old", 2)));
+    b.feed(Input::Announcement(at_one_address("old", 2)));
     b.commit();
     b.submit(2, spec(vec![step(2)]));
     b.commit();
--- a/components/dispatch/tests/starvation.rs
+++ b/components/dispatch/tests/starvation.rs
@@ -18,7 +18,7 @@
 
 use clock::Millis;
 use common::{Bench, news, row, spec, step, task};
-use dispatch::{AdviceAsk, RunRow};
+use dispatch::{AdviceRequest, RunStatus};
 use model::Size;
 use rstest::rstest;
 use workload::{JobSpec, StepSpec, WorkerId};
@@ -36,11 +36,11 @@
 struct Fleet {
     bench: Bench,
     workers: Vec<String>,
-    running: BTreeMap<WorkerId, Vec<RunRow>>,
+    running: BTreeMap<WorkerId, Vec<RunStatus>>,
     /// How many of the calls for advice and of the starts were processed.
     asks_seen: usize,
     starts_seen: usize,
-    under_way: Vec<(Millis, AdviceAsk)>,
+    under_way: Vec<(Millis, AdviceRequest)>,
     report_at: Millis,
     /// After how many calls for advice the first duration comes again; one if all take equally long.
     call_steps: u64,
@@ -101,13 +101,13 @@
         let asks = self.bench.asks(None).split_off(self.asks_seen);
         self.asks_seen += asks.len();
         let now = self.bench.now;
-        let longer = |a: &AdviceAsk| Millis(a.id % self.call_steps * CALL_STEP);
-        let until = |a: &AdviceAsk| now + CALL + longer(a);
+        let longer = |a: &AdviceRequest| Millis(a.id % self.call_steps * CALL_STEP);
+        let until = |a: &AdviceRequest| now + CALL + longer(a);
         self.under_way.extend(asks.into_iter().map(|a| (until(&a), a)));
-        let due = |(at, _): &(Millis, AdviceAsk)| *at <= now;
+        let due = |(at, _): &(Millis, AdviceRequest)| *at <= now;
         let (due, rest) = std::mem::take(&mut self.under_way).into_iter().partition(due);
         self.under_way = rest;
-        let due: Vec<(Millis, AdviceAsk)> = due;
+        let due: Vec<(Millis, AdviceRequest)> = due;
         for (_, ask) in due {
             let names = Bench::names(&ask.workers);
             let names: Vec<&str> = names.iter().map(|n| &**n).collect();
--- a/components/dispatch/tests/stragglers.rs
+++ b/components/dispatch/tests/stragglers.rs
@@ -4,7 +4,7 @@
 
 use clock::Millis;
 use common::{Bench, row, spec, step, task, worker};
-use dispatch::RunRow;
+use dispatch::RunStatus;
 use workload::{StepSpec, TaskKey};
 
 /// Returns a dispatcher with three workers that run one task of a step each and have capacity for one more.
@@ -21,8 +21,8 @@
     b
 }
 
-fn at(task: TaskKey, percent: u32) -> RunRow {
-    RunRow { percent, ..row(task, 1) }
+fn at(task: TaskKey, percent: u32) -> RunStatus {
+    RunStatus { percent, ..row(task, 1) }
 }
 
 /// Reports every 300 ms: the run on `slow` progresses by `by` percent each time, the others by 15 percent.
--- a/components/dispatch/tests/strangers.rs
+++ b/components/dispatch/tests/strangers.rs
@@ -6,10 +6,10 @@
 
 use clock::Millis;
 use common::{Bench, news, spec, step, worker};
-use dispatch::{Call, Input, WorkerNews};
+use dispatch::{Call, Input, WorkerAnnouncement};
 use workload::Document;
 
-fn stranger(name: &str) -> WorkerNews {
+fn stranger(name: &str) -> WorkerAnnouncement {
     let mut news = news(name, 8);
     news.info.service = "other".into();
     news
@@ -20,7 +20,7 @@
     let mut b = Bench::new("");
     b.join("w", 8);
     for _ in 0..3 {
-        b.feed(Input::News(stranger("x")));
+        b.feed(Input::Announcement(stranger("x")));
         b.commit();
         b.pass(Millis(1_500));
         b.report("w", vec![], vec![]);
@@ -35,7 +35,7 @@
 #[test]
 fn it_is_used_once_the_configuration_names_its_service() {
     let mut b = Bench::new("");
-    b.feed(Input::News(stranger("x")));
+    b.feed(Input::Announcement(stranger("x")));
     b.commit();
     b.call(Call::Publish(Document { version: 2, text: "other".into() }));
     b.commit();
@@ -46,7 +46,7 @@
 #[test]
 fn before_any_configuration_nobody_is_called() {
     let mut b = Bench::take_over(workload::ReplicatedState::default(), 1, Millis(1_000_000));
-    b.feed(Input::News(news("w", 8)));
+    b.feed(Input::Announcement(news("w", 8)));
     b.commit();
     b.pass(Millis(10));
     assert!(b.renewals("w").is_empty());
@@ -61,7 +61,7 @@
 fn a_known_worker_is_not_taken_away_by_such_an_announcement() {
     let mut b = Bench::new("");
     b.join("w", 8);
-    b.feed(Input::News(WorkerNews { number: 2, ..stranger("w") }));
+    b.feed(Input::Announcement(WorkerAnnouncement { number: 2, ..stranger("w") }));
     b.commit();
     b.submit(1, spec(vec![step(1)]));
     b.commit();
--- a/components/dispatch/tests/wait_lines.rs
+++ b/components/dispatch/tests/wait_lines.rs
@@ -6,7 +6,9 @@
 
 use clock::Millis;
 use common::{Bench, SILENT, end, job, news, row, spec, step, task, worker};
-use dispatch::{Action, CallError, Input, Refusal, RunRow, ServiceFigures, Verb, WorkerNews};
+use dispatch::{
+    Action, CallError, Input, Refusal, RunStatus, ServiceFigures, Verb, WorkerAnnouncement,
+};
 use model::{Name, Size};
 use workload::{
     Command, CrashSuspects, Document, EndKind, ReplicatedState, StepSpec, TaskKey, WorkerId,
@@ -26,7 +28,7 @@
 /// Takes the log lines about waiting tasks out of the actions: the subject of each, and its details.
 fn take_lines(b: &mut Bench) -> Vec<(String, String)> {
     let line = |a: Action| match a {
-        Action::Note { kind, subject, details } if kind.name == "task_waits" => {
+        Action::LogEvent { kind, subject, details } if kind.name == "task_waits" => {
             Some((subject, details))
         }
         _ => None,
@@ -59,7 +61,11 @@
 }
 
 fn leaves(b: &mut Bench, name: &str, cores: u64) {
-    b.feed(Input::News(WorkerNews { leaving: true, number: 2, ..news(name, cores) }));
+    b.feed(Input::Announcement(WorkerAnnouncement {
+        leaving: true,
+        number: 2,
+        ..news(name, cores)
+    }));
 }
 
 /// Has a worker join and run a long-running task that fills it.
@@ -170,8 +176,13 @@
     let elsewhere = WorkerInfo { service: "other".into(), ..news("elsewhere", 1).info };
     for info in [unlabelled, small, elsewhere] {
         let name = info.id.clone();
-        b.join_as(WorkerNews { info: info.clone(), ..news(&name.0, 1) });
-        b.feed(Input::News(WorkerNews { info, leaving: true, number: 2, ..news(&name.0, 1) }));
+        b.join_as(WorkerAnnouncement { info: info.clone(), ..news(&name.0, 1) });
+        b.feed(Input::Announcement(WorkerAnnouncement {
+            info,
+            leaving: true,
+            number: 2,
+            ..news(&name.0, 1)
+        }));
     }
     b.submit(6, spec(vec![StepSpec { constraint: Some("a".into()), ..lasting(1) }]));
     b.commit();
@@ -201,14 +212,14 @@
         b.pass(Millis(300));
         for (on, task) in &placed {
             let percent = if *on == worker("w2") { 2 * n } else { 13 * n };
-            b.report(&on.0, vec![RunRow { percent, ..row(*task, 1) }], vec![]);
+            b.report(&on.0, vec![RunStatus { percent, ..row(*task, 1) }], vec![]);
         }
         b.commit();
     }
     let lines = take_lines(&mut b);
     let rest = &lines.first().expect("a line is written").1;
     assert!(rest.ends_with("workers=3 fit=0 full=3"), "{rest}");
-    assert_eq!(b.dispatcher.figures().workers_aside, 0, "a slow worker does not fail");
+    assert_eq!(b.dispatcher.figures().quarantined_workers, 0, "a slow worker does not fail");
 }
 
 #[test]
@@ -369,10 +380,10 @@
     b.submit(3, spec(vec![lasting(2)]));
     b.commit();
     let figures = b.dispatcher.figures();
-    assert_eq!((figures.workers_aside, figures.lasting_waiting), (1, 2));
+    assert_eq!((figures.quarantined_workers, figures.long_running_waiting), (1, 2));
     let wanted = [
         ("other", ServiceFigures::default()),
-        ("s", ServiceFigures { workers_aside: 1, lasting_waiting: 2 }),
+        ("s", ServiceFigures { quarantined_workers: 1, long_running_waiting: 2 }),
     ];
     let wanted: BTreeMap<Name, ServiceFigures> =
         wanted.into_iter().map(|(service, f)| (service.into(), f)).collect();
@@ -380,5 +391,9 @@
     b.pass(Millis(4_000));
     b.commit();
     let figures = b.dispatcher.figures();
-    assert_eq!((figures.workers_aside, figures.lasting_waiting), (0, 1), "one of them runs");
+    assert_eq!(
+        (figures.quarantined_workers, figures.long_running_waiting),
+        (0, 1),
+        "one of them runs"
+    );
 }
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -172,12 +172,12 @@
         }
     }
 
-    fn on_news(&mut self, news: dispatch::WorkerNews, direct: bool) {
+    fn on_news(&mut self, news: dispatch::WorkerAnnouncement, direct: bool) {
         if direct {
             self.news.add(self.clock.now(), news.clone());
             self.to_leader(Message::News(news.clone()));
         }
-        self.feed(Input::News(news));
+        self.feed(Input::Announcement(news));
     }
 
     fn to_leader(&self, message: Message) {
@@ -323,7 +323,7 @@
         }
         let mut helpers = self.peers.helpers(now);
         helpers.insert(self.settings.id());
-        self.feed(Input::Helpers(helpers));
+        self.feed(Input::AdviceCallers(helpers));
         self.feed(Input::Tick);
         let actions = self.relay.tend(now, self.peers.leader(now));
         self.perform(actions);
--- a/components/node/src/gate.rs
+++ b/components/node/src/gate.rs
@@ -5,7 +5,7 @@
 use std::thread;
 
 use clock::Millis;
-use dispatch::{Answer, Call, WorkerNews};
+use dispatch::{Answer, Call, WorkerAnnouncement};
 use errors::{Error, Result};
 use events::{kinds, tell};
 use metrics::Registry;
@@ -26,9 +26,9 @@
     /// Somebody asks for something and waits.
     Call { call: Call, patience: Millis, tx: oneshot::Sender<Answer> },
     /// A worker announced itself.
-    News(WorkerNews),
+    News(WorkerAnnouncement),
     /// A worker announced that it is leaving; the leader's word on it is awaited.
-    Leaving { news: WorkerNews, tx: oneshot::Sender<()> },
+    Leaving { news: WorkerAnnouncement, tx: oneshot::Sender<()> },
     /// A worker said that it ends.
     Left(WorkerId),
     /// The process was told something.
@@ -82,7 +82,7 @@
     }
 
     /// Takes in a worker's announcement.
-    pub fn news(&self, news: WorkerNews) {
+    pub fn news(&self, news: WorkerAnnouncement) {
         // A process that ends has no use for it; the worker announces itself elsewhere next time.
         let _ = self.tx.send(Arrival::News(news));
     }
@@ -99,7 +99,7 @@
 
     /// Takes in that a worker is leaving, and tells whether the leader knows of it within `patience`: only
     /// then will surely nothing more be started there.
-    pub async fn leaving(&self, news: WorkerNews, patience: Millis) -> bool {
+    pub async fn leaving(&self, news: WorkerAnnouncement, patience: Millis) -> bool {
         let (tx, rx) = oneshot::channel();
         // As for news.
         let _ = self.tx.send(Arrival::Leaving { news, tx });
--- a/components/node/src/leading.rs
+++ b/components/node/src/leading.rs
@@ -40,7 +40,7 @@
         self.peers.follow(self.settings.id(), term, m.now);
         self.relay.leader_changed(m.now);
         let news = self.news.fresh(m.now);
-        news.into_iter().for_each(|news| self.feed(Input::News(news)));
+        news.into_iter().for_each(|news| self.feed(Input::Announcement(news)));
         let welcome = self.welcome();
         for id in self.peers.ids() {
             self.links.send(id, 0, welcome.clone());
@@ -73,11 +73,11 @@
         self.metrics.set("heathvale_advice_callers", figures.advice_callers);
         self.metrics.set("heathvale_advice_callers_busy", figures.advice_callers_busy);
         self.metrics.set("heathvale_steps_without_caller", figures.steps_without_caller);
-        self.metrics.set("heathvale_steps_without_look", figures.steps_without_look);
+        self.metrics.set("heathvale_steps_without_look", figures.steps_not_examined);
         let of = leading.dispatcher.service_figures();
-        let aside = of.iter().map(|(service, f)| (service.clone(), f.workers_aside));
+        let aside = of.iter().map(|(service, f)| (service.clone(), f.quarantined_workers));
         self.metrics.set_by_service(WORKERS_ASIDE, aside.collect());
-        let waiting = of.iter().map(|(service, f)| (service.clone(), f.lasting_waiting));
+        let waiting = of.iter().map(|(service, f)| (service.clone(), f.long_running_waiting));
         self.metrics.set_by_service(LASTING_WAITING, waiting.collect());
         self.measure_organisations(&leading.dispatcher.organisation_figures());
         let connections = self.ports.workers.connections();
@@ -99,9 +99,9 @@
             figures.advice_callers_busy,
             figures.advice_callers,
             figures.steps_without_caller,
-            figures.steps_without_look,
-            figures.workers_aside,
-            figures.lasting_waiting,
+            figures.steps_not_examined,
+            figures.quarantined_workers,
+            figures.long_running_waiting,
             connections.open,
             connections.limit,
             connections.opened,
@@ -192,7 +192,7 @@
                 let call = self.ports.workers.stop(&worker, &address, order);
                 self.spawn_call(call, move |result| Input::Stopped { worker, task, run, result });
             }
-            Action::Ask(ask) if ask.helper == self.settings.id() => {
+            Action::RequestAdvice(ask) if ask.caller == self.settings.id() => {
                 let call = self.ports.advice.ask(ask.step, ask.workers);
                 let id = ask.id;
                 self.spawn_call(call, move |advice| Input::Advised {
@@ -201,14 +201,14 @@
                     allowed: advice.map(|a| a.allowed),
                 });
             }
-            Action::Ask(ask) => {
+            Action::RequestAdvice(ask) => {
                 let (id, step, workers) = (ask.id, ask.step, ask.workers);
-                self.links.send(&ask.helper, 0, Message::Ask { id, step, workers });
+                self.links.send(&ask.caller, 0, Message::Ask { id, step, workers });
             }
             Action::CountCrash { service } => {
                 self.metrics.add_for_service("heathvale_worker_crashes_total", &service, 1);
             }
-            Action::Note { kind, subject, details } => {
+            Action::LogEvent { kind, subject, details } => {
                 self.metrics.add("heathvale_decisions_total", kind.name, 1);
                 tell(kind, &subject, &details);
             }
--- a/components/node/src/message.rs
+++ b/components/node/src/message.rs
@@ -2,7 +2,7 @@
 
 use clock::Millis;
 use consensus::Envelope;
-use dispatch::{Answer, Call, WorkerNews};
+use dispatch::{Answer, Call, WorkerAnnouncement};
 use model::{Incarnation, InstanceId, Name};
 use serde::{Deserialize, Serialize};
 use workload::{StepKey, WorkerId};
@@ -47,7 +47,7 @@
         answer: Answer,
     },
     /// A worker announced itself to the sender.
-    News(WorkerNews),
+    News(WorkerAnnouncement),
     /// The leader has taken in that a worker is leaving, and starts nothing more there.
     LeavingTaken {
         /// The worker.
--- a/components/node/src/recent_news.rs
+++ b/components/node/src/recent_news.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use clock::Millis;
-use dispatch::WorkerNews;
+use dispatch::WorkerAnnouncement;
 use workload::WorkerId;
 
 /// How long an announcement is told to new leaders: a little more than two of a worker's periods.
@@ -13,12 +13,12 @@
 /// The last announcement of each worker, and when it came.
 #[derive(Debug, Default)]
 pub(crate) struct RecentNews {
-    by_worker: BTreeMap<WorkerId, (Millis, WorkerNews)>,
+    by_worker: BTreeMap<WorkerId, (Millis, WorkerAnnouncement)>,
 }
 
 impl RecentNews {
     /// Takes in an announcement, unless a newer one came before it.
-    pub(crate) fn add(&mut self, now: Millis, news: WorkerNews) {
+    pub(crate) fn add(&mut self, now: Millis, news: WorkerAnnouncement) {
         let known = self.by_worker.get(&news.info.id);
         if known.is_some_and(|(_, known)| known.number > news.number) {
             return;
@@ -28,14 +28,14 @@
 
     /// Drops what a worker that has left announced; where it does not say which life it was, that of lives that leave.
     pub(crate) fn remove(&mut self, worker: &WorkerId) {
-        let is_meant = |id: &WorkerId, news: &WorkerNews| {
+        let is_meant = |id: &WorkerId, news: &WorkerAnnouncement| {
             id == worker || (worker.may_refer_to(id) && news.leaving)
         };
         self.by_worker.retain(|id, (_, news)| !is_meant(id, news));
     }
 
     /// Gives what may still be told.
-    pub(crate) fn fresh(&self, now: Millis) -> Vec<WorkerNews> {
+    pub(crate) fn fresh(&self, now: Millis) -> Vec<WorkerAnnouncement> {
         let fresh = self.by_worker.values().filter(|(at, _)| is_fresh(now, *at));
         fresh.map(|(_, news)| news.clone()).collect()
     }
--- a/components/node/src/relay.rs
+++ b/components/node/src/relay.rs
@@ -175,7 +175,7 @@
 }
 
 fn last_word(pending: &Pending) -> Answer {
-    match !pending.call.only_reads() && (pending.maybe_taken || pending.awaited) {
+    match !pending.call.is_read_only() && (pending.maybe_taken || pending.awaited) {
         true => Answer::Unsure { retry_after: pending.come_back },
         false => Answer::NotDone { retry_after: pending.come_back },
     }
--- a/components/node/src/waiters.rs
+++ b/components/node/src/waiters.rs
@@ -71,7 +71,7 @@
 fn verb_name(verb: &Verb) -> &'static str {
     match verb {
         Verb::Submit(_) => "submit",
-        Verb::Look => "look",
+        Verb::Query => "look",
         Verb::Cancel => "cancel",
     }
 }
--- a/components/node/tests/relay.rs
+++ b/components/node/tests/relay.rs
@@ -54,7 +54,7 @@
 #[rstest]
 #[case::submit(submit(), true)]
 #[case::cancel(call(Verb::Cancel), true)]
-#[case::look(call(Verb::Look), false)]
+#[case::look(call(Verb::Query), false)]
 #[case::read(Call::Read, false)]
 fn a_call_that_was_sent_and_not_answered_may_have_been_done_if_it_changes_something(
     #[case] call: Call,
