--- a/components/dispatch/tests/advice.rs
+++ b/components/dispatch/tests/advice.rs
@@ -3,69 +3,69 @@
 mod common;
 
 use clock::Millis;
-use common::{Bench, end, row, spec, step, task};
+use common::{Harness, end, row, spec, step, task};
 use workload::{EndKind, StepSpec};
 
 #[test]
 fn calls_that_take_long_leave_instances_free_for_short_ones() {
-    let mut b = Bench::new("advice");
-    b.helpers(&["e1", "e2", "e3"]);
+    let mut b = Harness::new("advice");
+    b.set_advice_callers(&["e1", "e2", "e3"]);
     b.join("w1", 16);
     for id in 1..=5 {
         b.submit_bulk(id, spec(vec![step(1)]));
     }
-    assert_eq!(b.asks(None).len(), 2, "one of three instances stays free");
+    assert_eq!(b.advice_requests(None).len(), 2, "one of three instances stays free");
     b.submit(9, spec(vec![step(1)]));
-    b.pass(Millis(10));
-    assert_eq!(b.asks(Some(9)).len(), 1);
+    b.advance(Millis(10));
+    assert_eq!(b.advice_requests(Some(9)).len(), 1);
 }
 
 #[test]
 fn a_single_instance_makes_long_calls_too() {
-    let mut b = Bench::new("advice");
-    b.helpers(&["e1"]);
+    let mut b = Harness::new("advice");
+    b.set_advice_callers(&["e1"]);
     b.join("w1", 16);
     b.submit_bulk(1, spec(vec![step(1)]));
-    assert_eq!(b.asks(None).len(), 1);
+    assert_eq!(b.advice_requests(None).len(), 1);
 }
 
 #[test]
 fn where_room_is_short_one_short_call_names_the_full_workers_too() {
-    let mut b = Bench::new("advice");
-    b.helpers(&["e1", "e2", "e3"]);
+    let mut b = Harness::new("advice");
+    b.set_advice_callers(&["e1", "e2", "e3"]);
     b.join("w1", 1);
     b.join("w2", 1);
     b.submit(1, spec(vec![step(1)]));
-    let ask = b.asks(Some(1)).remove(0);
-    b.advise(&ask, &["w1"]);
+    let ask = b.advice_requests(Some(1)).remove(0);
+    b.answer_advice(&ask, &["w1"]);
     assert_eq!(b.starts().len(), 1, "w1 is full now");
     b.submit(2, spec(vec![step(2)]));
-    let ask = b.asks(Some(2)).remove(0);
+    let ask = b.advice_requests(Some(2)).remove(0);
     assert_eq!(ask.workers.len(), 2);
-    b.advise(&ask, &["w1", "w2"]);
-    b.pass(Millis(500));
+    b.answer_advice(&ask, &["w1", "w2"]);
+    b.advance(Millis(500));
     b.report("w1", vec![], vec![end(1, task(1, 0, 0), 1, EndKind::Done)]);
     b.commit();
     assert_eq!(b.starts().len(), 3, "room that comes is used without another call");
-    assert_eq!(b.asks(Some(2)).len(), 1);
+    assert_eq!(b.advice_requests(Some(2)).len(), 1);
 }
 
 #[test]
 fn advice_on_the_next_step_is_asked_for_long_before_it_opens() {
-    let mut b = Bench::new("advice");
-    b.helpers(&["e1", "e2", "e3"]);
+    let mut b = Harness::new("advice");
+    b.set_advice_callers(&["e1", "e2", "e3"]);
     b.join("w1", 8);
     let second = StepSpec { depends_on: vec![0], ..step(2) };
     b.submit(1, spec(vec![step(1), second]));
-    let ask = b.asks(Some(1)).remove(0);
-    b.advise(&ask, &["w1"]);
+    let ask = b.advice_requests(Some(1)).remove(0);
+    b.answer_advice(&ask, &["w1"]);
     b.started("w1", task(1, 0, 0), 1, Ok(()));
     // Declared run times are often too long, so half of the declared time may be all there is.
-    b.pass(Millis(300));
+    b.advance(Millis(300));
     b.report("w1", vec![row(task(1, 0, 0), 1)], vec![]);
-    let asks = b.asks(Some(1));
-    assert_eq!(asks.len(), 2, "the step runs for 800 ms by what was declared");
-    b.advise(&asks[1], &["w1"]);
+    let advice_requests = b.advice_requests(Some(1));
+    assert_eq!(advice_requests.len(), 2, "the step runs for 800 ms by what was declared");
+    b.answer_advice(&advice_requests[1], &["w1"]);
     b.report("w1", vec![], vec![end(1, task(1, 0, 0), 1, EndKind::Done)]);
     b.commit();
     assert_eq!(b.starts().len(), 3, "the second step starts in the commit that opens it");
@@ -73,66 +73,67 @@
 
 #[test]
 fn a_short_call_without_an_answer_is_soon_made_by_another_instance() {
-    let mut b = Bench::new("advice");
-    b.helpers(&["e1", "e2", "e3"]);
+    let mut b = Harness::new("advice");
+    b.set_advice_callers(&["e1", "e2", "e3"]);
     b.join("w1", 8);
     b.submit(1, spec(vec![step(1)]));
-    assert_eq!(b.asks(Some(1)).len(), 1);
-    b.pass(Millis(300));
-    b.pass(Millis(100));
-    let helpers: Vec<String> = b.asks(Some(1)).iter().map(|a| a.caller.to_string()).collect();
+    assert_eq!(b.advice_requests(Some(1)).len(), 1);
+    b.advance(Millis(300));
+    b.advance(Millis(100));
+    let helpers: Vec<String> =
+        b.advice_requests(Some(1)).iter().map(|a| a.caller.to_string()).collect();
     assert_eq!(helpers.len(), 2);
     assert_ne!(helpers[0], helpers[1]);
 }
 
 #[test]
 fn a_long_call_names_full_workers_too_where_room_is_short() {
-    let mut b = Bench::new("advice");
-    b.helpers(&["e1"]);
+    let mut b = Harness::new("advice");
+    b.set_advice_callers(&["e1"]);
     b.join("w1", 1);
     b.join("w2", 1);
     b.submit_bulk(1, spec(vec![step(3)]));
-    let ask = b.asks(Some(1)).remove(0);
-    b.advise(&ask, &["w1", "w2"]);
+    let ask = b.advice_requests(Some(1)).remove(0);
+    b.answer_advice(&ask, &["w1", "w2"]);
     assert_eq!(b.starts().len(), 2, "both are full now");
     b.submit_bulk(2, spec(vec![step(1)]));
-    b.pass(Millis(100));
-    let ask = b.asks(Some(2)).remove(0);
+    b.advance(Millis(100));
+    let ask = b.advice_requests(Some(2)).remove(0);
     assert_eq!(ask.workers.len(), 2);
 }
 
 #[test]
 fn tickets_of_a_step_that_waits_are_renewed_before_they_run_out() {
-    let mut b = Bench::new("advice");
-    b.helpers(&["e1"]);
+    let mut b = Harness::new("advice");
+    b.set_advice_callers(&["e1"]);
     b.join("w1", 1);
     b.submit_bulk(1, spec(vec![step(2)]));
-    let ask = b.asks(Some(1)).remove(0);
-    b.advise(&ask, &["w1"]);
+    let ask = b.advice_requests(Some(1)).remove(0);
+    b.answer_advice(&ask, &["w1"]);
     assert_eq!(b.starts().len(), 1);
     // A ticket holds for 2 s and a call takes 0.4 s.
-    b.pass(Millis(1_300));
-    assert_eq!(b.asks(Some(1)).len(), 1);
-    b.pass(Millis(300));
-    b.pass(Millis(10));
-    assert_eq!(b.asks(Some(1)).len(), 2);
+    b.advance(Millis(1_300));
+    assert_eq!(b.advice_requests(Some(1)).len(), 1);
+    b.advance(Millis(300));
+    b.advance(Millis(10));
+    assert_eq!(b.advice_requests(Some(1)).len(), 2);
 }
 
 /// Looking through all workers takes the leader's processor, which answers need.
 #[test]
 fn a_ticket_for_a_worker_that_fell_silent_has_nobody_looked_for_all_the_time() {
-    let mut b = Bench::new("advice");
-    b.helpers(&["e1", "e2", "e3"]);
+    let mut b = Harness::new("advice");
+    b.set_advice_callers(&["e1", "e2", "e3"]);
     b.join("w1", 1);
     b.submit(1, spec(vec![step(2)]));
-    let ask = b.asks(Some(1)).remove(0);
-    b.advise(&ask, &["w1"]);
-    b.renewal_fails("w1", common::SILENT());
+    let ask = b.advice_requests(Some(1)).remove(0);
+    b.answer_advice(&ask, &["w1"]);
+    b.renewal_fails("w1", common::NO_ANSWER());
     // By now the ticket has run out, and its worker cannot be asked about.
-    b.pass(Millis(2_500));
+    b.advance(Millis(2_500));
     let scans: u32 = (0..40)
         .map(|_| {
-            b.pass(Millis(50));
+            b.advance(Millis(50));
             b.dispatcher.figures().scans
         })
         .sum();
@@ -141,17 +142,18 @@
 
 #[test]
 fn a_plan_looks_through_all_workers_for_a_few_steps_only() {
-    let mut b = Bench::new("advice");
+    let mut b = Harness::new("advice");
     let helpers: Vec<String> = (0..40).map(|i| format!("e{i}")).collect();
-    b.helpers(&helpers.iter().map(String::as_str).collect::<Vec<_>>());
+    b.set_advice_callers(&helpers.iter().map(String::as_str).collect::<Vec<_>>());
     b.join("w1", 8);
     for id in 1..=30 {
         b.submit(id, spec(vec![step(9)]));
     }
-    b.pass(Millis(100));
-    let asked = |b: &Bench| (1..=30).filter(|id| !b.asks(Some(*id)).is_empty()).count();
+    b.advance(Millis(100));
+    let asked =
+        |b: &Harness| (1..=30).filter(|id| !b.advice_requests(Some(*id)).is_empty()).count();
     assert!(asked(&b) < 30, "not all at once");
-    (0..10).for_each(|_| b.pass(Millis(20)));
+    (0..10).for_each(|_| b.advance(Millis(20)));
     assert_eq!(asked(&b), 30, "but soon");
 }
 
@@ -159,28 +161,28 @@
 /// ahead of need.
 #[test]
 fn advice_ahead_is_asked_for_later_if_a_plan_has_looked_for_many_steps() {
-    let mut b = Bench::new("advice");
+    let mut b = Harness::new("advice");
     let helpers: Vec<String> = (0..40).map(|i| format!("e{i}")).collect();
-    b.helpers(&helpers.iter().map(String::as_str).collect::<Vec<_>>());
+    b.set_advice_callers(&helpers.iter().map(String::as_str).collect::<Vec<_>>());
     b.join("w1", 8);
     let second = StepSpec { depends_on: vec![0], ..step(1) };
     b.submit(1, spec(vec![step(1), second]));
-    let ask = b.asks(Some(1)).remove(0);
+    let ask = b.advice_requests(Some(1)).remove(0);
     // The answer and a backlog are planned for together.
     for id in 2..=30 {
         b.submit(id, spec(vec![step(9)]));
     }
-    b.advise(&ask, &["w1"]);
-    (0..20).for_each(|_| b.pass(Millis(20)));
-    let steps: Vec<u32> = b.asks(Some(1)).iter().map(|a| a.step.step).collect();
+    b.answer_advice(&ask, &["w1"]);
+    (0..20).for_each(|_| b.advance(Millis(20)));
+    let steps: Vec<u32> = b.advice_requests(Some(1)).iter().map(|a| a.step.step).collect();
     assert!(steps.contains(&1), "{steps:?}");
 }
 
 /// The leader's figures tell a backlog that waits for calls for advice from one that waits for room.
 #[test]
 fn the_figures_tell_how_many_steps_wait_for_an_instance_to_make_a_call() {
-    let mut b = Bench::new("advice");
-    b.helpers(&["e1", "e2", "e3"]);
+    let mut b = Harness::new("advice");
+    b.set_advice_callers(&["e1", "e2", "e3"]);
     b.join("w1", 16);
     for id in 1..=5 {
         b.submit_bulk(id, spec(vec![step(1)]));
--- a/components/dispatch/tests/advice_load.rs
+++ b/components/dispatch/tests/advice_load.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 use clock::Millis;
-use common::{Bench, spec, step};
+use common::{Harness, spec, step};
 use dispatch::AdviceRequest;
 use workload::StepSpec;
 
@@ -16,10 +16,10 @@
 }
 
 /// A fleet with room for everything, and sixteen instances that call for advice.
-fn fleet(workers: usize) -> Bench {
-    let mut b = Bench::new("advice, long");
+fn fleet(workers: usize) -> Harness {
+    let mut b = Harness::new("advice, long");
     let names = names();
-    b.helpers(&names.iter().map(String::as_str).collect::<Vec<_>>());
+    b.set_advice_callers(&names.iter().map(String::as_str).collect::<Vec<_>>());
     for i in 0..workers {
         b.join(&format!("w{i:02}"), 16);
     }
@@ -27,19 +27,19 @@
 }
 
 /// Hands in batch steps, more than there are instances.
-fn hand_in_backlog(b: &mut Bench) {
+fn hand_in_backlog(b: &mut Harness) {
     for n in 0..40 {
         let batch = StepSpec { estimate: Millis(4_000), ..step(4) };
         b.submit_bulk(0x1000 + n, spec(vec![batch]));
     }
     b.commit();
-    b.pass(Millis(200));
+    b.advance(Millis(200));
 }
 
 /// Gives the instances that make long calls, as far as these are not answered.
-fn busy_with_long_calls(b: &Bench) -> BTreeSet<String> {
+fn busy_with_long_calls(b: &Harness) -> BTreeSet<String> {
     let long = |a: &AdviceRequest| a.step.job.0 >= 0x1000;
-    b.asks(None).into_iter().filter(long).map(|a| a.caller.to_string()).collect()
+    b.advice_requests(None).into_iter().filter(long).map(|a| a.caller.to_string()).collect()
 }
 
 #[test]
@@ -54,8 +54,8 @@
 #[test]
 fn without_short_calls_nearly_all_instances_make_long_ones() {
     let mut b = fleet(8);
-    b.pass(Millis(100));
-    b.pass(Millis(20_000));
+    b.advance(Millis(100));
+    b.advance(Millis(20_000));
     hand_in_backlog(&mut b);
     assert_eq!(busy_with_long_calls(&b).len(), INSTANCES - INSTANCES / 8);
 }
@@ -71,13 +71,14 @@
         for id in ids.clone() {
             b.submit(id, spec(vec![step(1)]));
         }
-        b.pass(Millis(20));
-        let asks: Vec<AdviceRequest> = ids.flat_map(|id| b.asks(Some(id))).collect();
-        for ask in asks {
+        b.advance(Millis(20));
+        let advice_requests: Vec<AdviceRequest> =
+            ids.flat_map(|id| b.advice_requests(Some(id))).collect();
+        for ask in advice_requests {
             let allowed: Vec<String> = ask.workers.iter().map(ToString::to_string).collect();
-            b.advise(&ask, &allowed.iter().map(String::as_str).collect::<Vec<_>>());
+            b.answer_advice(&ask, &allowed.iter().map(String::as_str).collect::<Vec<_>>());
         }
-        b.pass(Millis(20));
+        b.advance(Millis(20));
         for (w, start) in b.starts().split_off(confirmed) {
             b.started(&w.0, start.task, start.run, Ok(()));
             confirmed += 1;
@@ -95,12 +96,12 @@
 fn where_calls_are_short_a_long_one_names_more_workers() {
     let mut b = fleet(60);
     b.submit_bulk(1, spec(vec![step(2)]));
-    assert_eq!(b.asks(Some(1)).remove(0).workers.len(), 10);
+    assert_eq!(b.advice_requests(Some(1)).remove(0).workers.len(), 10);
     hand_in_backlog(&mut b);
-    let answered = b.asks(Some(1)).remove(0);
-    b.advise(&answered, &["w00", "w01"]);
-    b.pass(Millis(50));
-    let last = b.asks(None).pop().unwrap();
+    let answered = b.advice_requests(Some(1)).remove(0);
+    b.answer_advice(&answered, &["w00", "w01"]);
+    b.advance(Millis(50));
+    let last = b.advice_requests(None).pop().unwrap();
     assert_ne!(last.step, answered.step);
     assert_eq!(last.workers.len(), 40);
 }
--- a/components/dispatch/tests/capacity.rs
+++ b/components/dispatch/tests/capacity.rs
@@ -7,20 +7,20 @@
 
 use clock::Millis;
 use common::setups::wide;
-use common::{Bench, end, news, spec, step, task};
+use common::{Harness, announcement, end, spec, step, task};
 use dispatch::{Input, WorkerAnnouncement};
 use model::Size;
 use workload::{EndKind, StepSpec};
 
 /// Lets a worker announce itself with so many cores, in its announcement of a number.
-fn announce(b: &mut Bench, name: &str, cores: u64, number: u64) {
-    b.feed(Input::Announcement(WorkerAnnouncement { number, ..news(name, cores) }));
+fn announce(b: &mut Harness, name: &str, cores: u64, number: u64) {
+    b.feed(Input::Announcement(WorkerAnnouncement { number, ..announcement(name, cores) }));
     b.commit();
 }
 
 /// A dispatcher with one worker of eight cores.
-fn with_one_worker() -> Bench {
-    let mut b = Bench::new("");
+fn with_one_worker() -> Harness {
+    let mut b = Harness::new("");
     b.join("w", 8);
     b
 }
@@ -60,12 +60,12 @@
     b.call_path("/q/0000000000000001", dispatch::Verb::Cancel);
     b.commit();
     assert_eq!(b.stops().len(), 6);
-    b.pass(Millis(50));
+    b.advance(Millis(50));
     assert_eq!(b.starts().len(), 6, "what is being stopped counts");
     let ends = (0..6).map(|i| end(u64::from(i) + 1, task(1, 0, i), 1, EndKind::Stopped));
     b.report("w", vec![], ends.collect());
     b.commit();
-    b.pass(Millis(50));
+    b.advance(Millis(50));
     assert_eq!(b.starts().len(), 9);
 }
 
@@ -74,10 +74,10 @@
     let mut b = with_one_worker();
     b.submit(1, spec(vec![step(8)]));
     assert!(b.starts().is_empty());
-    b.feed(Input::Announcement(WorkerAnnouncement { number: 2, ..news("w", 4) }));
+    b.feed(Input::Announcement(WorkerAnnouncement { number: 2, ..announcement("w", 4) }));
     b.commit();
     assert!(b.starts().len() <= 4, "{} starts", b.starts().len());
-    b.pass(Millis(50));
+    b.advance(Millis(50));
     assert_eq!(b.starts().len(), 4, "the others wait");
 }
 
@@ -95,8 +95,8 @@
 fn the_next_leader_knows_of_it() {
     let mut b = with_one_worker();
     announce(&mut b, "w", 4, 2);
-    let mut b = Bench::take_over(b.committed.clone(), 2, b.now);
-    b.pass(Millis(1));
+    let mut b = Harness::take_over(b.committed.clone(), 2, b.now);
+    b.advance(Millis(1));
     b.report("w", vec![], vec![]);
     b.submit(1, spec(vec![step(8)]));
     b.commit();
@@ -114,7 +114,7 @@
     announce(&mut b, "w", 6, 2);
     b.submit(2, spec(vec![wide(1, 8)]));
     b.commit();
-    b.pass(Millis(50));
+    b.advance(Millis(50));
     assert!(b.stops().is_empty());
 }
 
@@ -122,7 +122,7 @@
 /// left, and the rest waits.
 #[test]
 fn a_burst_on_workers_that_have_shrunk_fills_what_is_left() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     let names = ["w1", "w2", "w3", "w4"];
     names.iter().for_each(|name| b.join(name, 9));
     b.submit(1, spec(vec![step(12)]));
@@ -130,7 +130,7 @@
     announce(&mut b, "w1", 5, 2);
     b.submit(2, spec(vec![step(40)]));
     b.commit();
-    b.pass(Millis(100));
+    b.advance(Millis(100));
     let on = |name: &str| b.starts().iter().filter(|(w, _)| w.0.as_ref() == name).count();
     assert_eq!(names.map(on), [5, 9, 9, 9]);
 }
--- a/components/dispatch/tests/common/fleet.rs
+++ b/components/dispatch/tests/common/fleet.rs
@@ -5,7 +5,7 @@
 mod checks;
 pub mod crash;
 pub mod fail;
-pub mod lives;
+pub mod incarnations;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -23,10 +23,10 @@
 
 use self::crash::Crashes;
 use self::fail::Failures;
-use super::away::Away;
+use super::downtime_checker::DowntimeChecker;
 use super::host::Host;
-use super::watch::Watch;
-use super::{Bench, SILENT};
+use super::wait_checker::WaitChecker;
+use super::{Harness, NO_ANSWER};
 
 /// By how much time goes on at once, which is also what the way to a worker takes.
 pub const STEP: Millis = Millis(10);
@@ -79,12 +79,12 @@
     Quick,
     Batch,
     Gang,
-    Lasting,
+    LongRunning,
     Wide,
 }
 
 /// A job as its caller knows it.
-pub struct Handed {
+pub struct SubmittedJob {
     pub kind: Kind,
     path: String,
     spec: Arc<JobSpec>,
@@ -94,18 +94,18 @@
 }
 
 /// A call for advice under way.
-struct Asked {
+struct PendingAdvice {
     due: Millis,
     ask: AdviceRequest,
 }
 
 pub struct Fleet {
-    pub bench: Bench,
+    pub harness: Harness,
     pub hosts: BTreeMap<WorkerId, Host>,
     pub rng: StdRng,
-    pub jobs: BTreeMap<JobId, Handed>,
-    pub watch: Watch,
-    pub away: Away,
+    pub jobs: BTreeMap<JobId, SubmittedJob>,
+    pub wait_checker: WaitChecker,
+    pub downtime_checker: DowntimeChecker,
     pub crashes: Crashes,
     pub failures: Failures,
     seed: u64,
@@ -113,7 +113,7 @@
     callers: Vec<String>,
     /// Until when each instance is busy with calls for advice.
     busy_until: BTreeMap<InstanceId, Millis>,
-    asked: Vec<Asked>,
+    asked: Vec<PendingAdvice>,
     committing: VecDeque<(Millis, u64, Vec<Command>)>,
     /// Orders on their way to workers.
     orders: Vec<Action>,
@@ -124,9 +124,9 @@
     /// The lives of workers that said no births before, by the names under which they were known.
     named: BTreeMap<WorkerId, WorkerId>,
     /// When something of ours last disturbed the fleet.
-    trouble_at: Millis,
+    disturbed_at: Millis,
     /// The jobs with tasks that last.
-    lasting: Vec<JobId>,
+    long_running_jobs: Vec<JobId>,
     /// The decisions that the dispatcher told of: what each is about, and the rest.
     notes: Vec<(String, String)>,
 }
@@ -135,12 +135,12 @@
     /// Makes a fleet with so many instances that can call for advice.
     pub fn new(seed: u64, callers: usize) -> Fleet {
         let mut fleet = Fleet {
-            bench: Bench::new("advice, long"),
+            harness: Harness::new("advice, long"),
             hosts: BTreeMap::new(),
             rng: StdRng::seed_from_u64(seed),
             jobs: BTreeMap::new(),
-            watch: Watch::default(),
-            away: Away::default(),
+            wait_checker: WaitChecker::default(),
+            downtime_checker: DowntimeChecker::default(),
             crashes: Crashes::default(),
             failures: Failures::default(),
             seed,
@@ -154,22 +154,22 @@
             has_leader: true,
             term: 1,
             named: BTreeMap::new(),
-            trouble_at: Millis::ZERO,
-            lasting: Vec::new(),
+            disturbed_at: Millis::ZERO,
+            long_running_jobs: Vec::new(),
             notes: Vec::new(),
         };
-        fleet.tell_callers();
+        fleet.set_callers();
         fleet
     }
 
     /// Notes that something of ours has just disturbed the fleet or ceased to.
-    pub(super) fn note_trouble(&mut self) {
-        self.trouble_at = self.bench.now;
+    pub(super) fn note_disturbance(&mut self) {
+        self.disturbed_at = self.harness.now;
     }
 
-    fn tell_callers(&mut self) {
+    fn set_callers(&mut self) {
         let names: Vec<&str> = self.callers.iter().map(String::as_str).collect();
-        self.bench.helpers(&names);
+        self.harness.set_advice_callers(&names);
     }
 
     /// Has the advice service allow every worker for every step.
@@ -211,10 +211,10 @@
         let number = self.service.numbers.len() as u64;
         self.service.numbers.insert(info.id.clone(), number);
         self.hosts.insert(info.id.clone(), Host::new(info.clone()));
-        self.news(info, 1);
+        self.announcement(info, 1);
     }
 
-    fn news(&mut self, info: WorkerInfo, number: u64) {
+    fn announcement(&mut self, info: WorkerInfo, number: u64) {
         let leaving = number > 1;
         let remaining = leaving.then_some(NOTICE);
         self.handle(Input::Announcement(WorkerAnnouncement { info, leaving, remaining, number }));
@@ -223,25 +223,25 @@
     /// Has a worker announce itself again, as it does every few seconds.
     pub fn announce(&mut self, id: &WorkerId) {
         let info = self.hosts.get(id).filter(|h| !h.crashed).map(|h| h.info.clone());
-        info.into_iter().for_each(|info| self.news(info, 1));
+        info.into_iter().for_each(|info| self.announcement(info, 1));
     }
 
     /// Has all workers that are reached announce themselves when they are due to. A leader that has forgotten them
     /// knows them again by that alone.
-    fn let_announce(&mut self) {
-        if self.bench.now.0 % ANNOUNCED_EVERY.0 < STEP.0 {
+    fn announce_due(&mut self) {
+        if self.harness.now.0 % ANNOUNCED_EVERY.0 < STEP.0 {
             let reached = self.workers(|h| !h.fake.silent && !h.leaving && !h.crashed);
             reached.iter().for_each(|id| self.announce(id));
         }
     }
 
     /// Has a worker say that it leaves shortly.
-    pub fn give_notice(&mut self, id: &WorkerId) {
+    pub fn announce_leaving(&mut self, id: &WorkerId) {
         let Some(host) = self.hosts.get_mut(id) else { return };
         host.leaving = true;
         let info = host.info.clone();
-        self.note_trouble();
-        self.news(info, 2);
+        self.note_disturbance();
+        self.announcement(info, 2);
     }
 
     /// Ends a worker with all that it runs; nobody answers there any more.
@@ -254,7 +254,7 @@
     }
 
     pub fn set_silent(&mut self, id: &WorkerId, silent: bool) {
-        self.note_trouble();
+        self.note_disturbance();
         // A life that is over never answers again.
         if let Some(host) = self.hosts.get_mut(id).filter(|h| !h.crashed) {
             host.fake.silent = silent;
@@ -266,19 +266,19 @@
     }
 
     fn handle(&mut self, input: Input) {
-        let m = self.bench.moment();
-        self.bench.dispatcher.handle(m, input);
+        let m = self.harness.moment();
+        self.harness.dispatcher.handle(m, input);
     }
 
     /// Hands in a job at a queue; without a leader the caller keeps it and comes back.
-    pub fn hand_in(&mut self, kind: Kind, queue: &str, steps: Vec<StepSpec>) -> JobId {
+    pub fn submit_job(&mut self, kind: Kind, queue: &str, steps: Vec<StepSpec>) -> JobId {
         let id = JobId(self.jobs.len() as u64 + 1);
         if steps.iter().any(|s| s.long_running) {
-            self.lasting.push(id);
+            self.long_running_jobs.push(id);
         }
         let (path, spec) = (format!("/{queue}/{id}"), super::spec(steps));
-        let at = self.bench.now;
-        let job = Handed { kind, path, spec, at, accepted: false, first_start: None };
+        let at = self.harness.now;
+        let job = SubmittedJob { kind, path, spec, at, accepted: false, first_start: None };
         self.jobs.insert(id, job);
         self.send(id);
         id
@@ -305,16 +305,16 @@
         self.orders.clear();
         self.unanswered.clear();
         self.asked.clear();
-        self.hosts.values_mut().for_each(Host::drop_held);
+        self.hosts.values_mut().for_each(Host::drop_renewal);
     }
 
     /// Another instance leads, with what is committed; callers whose jobs were not accepted come back.
     pub fn take_over(&mut self) {
         self.term += 1;
-        let committed = self.bench.committed.clone();
-        self.bench = Bench::take_over(committed, self.term, self.bench.now);
+        let committed = self.harness.committed.clone();
+        self.harness = Harness::take_over(committed, self.term, self.harness.now);
         self.has_leader = true;
-        self.tell_callers();
+        self.set_callers();
         let open = self.jobs.iter().filter(|(_, j)| !j.accepted).map(|(id, _)| *id);
         for id in open.collect::<Vec<_>>() {
             self.send(id);
@@ -323,29 +323,29 @@
 
     /// Lets time pass by one step.
     pub fn step(&mut self) {
-        self.bench.now += STEP;
+        self.harness.now += STEP;
         let present = self.present();
-        let now = self.bench.now;
-        self.hosts.values_mut().for_each(|h| h.come_on(now, &present));
-        self.let_crash();
-        self.let_fail();
+        let now = self.harness.now;
+        self.hosts.values_mut().for_each(|h| h.advance_runs(now, &present));
+        self.crash_due_workers();
+        self.fail_due_runs();
         if self.has_leader {
-            self.let_come_back();
-            self.let_announce();
+            self.restart_due_workers();
+            self.announce_due();
             self.commit();
-            self.answer_asks();
+            self.answer_advice_requests();
             self.carry_out_orders();
-            self.tell_silence();
+            self.fail_unanswered_orders();
             self.answer_renewals();
-            self.bench.feed(Input::Tick);
+            self.harness.feed(Input::Tick);
             self.collect();
         }
         self.check();
     }
 
-    pub fn pass(&mut self, span: Millis) {
-        let until = self.bench.now + span;
-        while self.bench.now < until {
+    pub fn advance(&mut self, span: Millis) {
+        let until = self.harness.now + span;
+        while self.harness.now < until {
             self.step();
         }
     }
@@ -360,21 +360,21 @@
     }
 
     fn commit(&mut self) {
-        let now = self.bench.now;
+        let now = self.harness.now;
         while self.committing.front().is_some_and(|(due, ..)| *due <= now) {
             let Some((_, number, commands)) = self.committing.pop_front() else { return };
-            commands.iter().for_each(|c| self.bench.committed.apply(c));
+            commands.iter().for_each(|c| self.harness.committed.apply(c));
             self.handle(Input::Committed(number));
         }
     }
 
-    fn answer_asks(&mut self) {
-        let now = self.bench.now;
-        let (due, rest): (Vec<Asked>, _) =
+    fn answer_advice_requests(&mut self) {
+        let now = self.harness.now;
+        let (due, rest): (Vec<PendingAdvice>, _) =
             std::mem::take(&mut self.asked).into_iter().partition(|a| a.due <= now);
         self.asked = rest;
         let ticket: model::Name = (now + TICKET).0.to_string().as_str().into();
-        for Asked { ask, .. } in due {
+        for PendingAdvice { ask, .. } in due {
             let allows = |w: &&WorkerId| self.service.allows(&ask.step, self.service.number(w));
             let allowed = ask.workers.iter().filter(allows);
             let allowed = Some(allowed.map(|w| (w.clone(), ticket.clone())).collect());
@@ -386,27 +386,27 @@
         for action in std::mem::take(&mut self.orders) {
             match &action {
                 Action::Renew { worker, .. } if self.named.contains_key(worker) => {
-                    self.tell_birth(worker);
+                    self.answer_with_incarnation(worker);
                 }
                 Action::Renew { worker, order, .. } => {
-                    let now = self.bench.now;
+                    let now = self.harness.now;
                     let Some(host) = self.hosts.get_mut(worker) else { continue };
                     if let Err(why) = host.renew(now, now.since(STEP), order) {
                         self.renewed(worker, now.since(STEP), Err(CallError::Refused(why)));
                     }
                 }
                 Action::Start { worker, order, .. } if self.is_silent(worker) => {
-                    self.unanswered.push((self.bench.now + order.answer_timeout, action));
+                    self.unanswered.push((self.harness.now + order.answer_timeout, action));
                 }
                 Action::Stop { worker, order, .. } if self.is_silent(worker) => {
-                    self.unanswered.push((self.bench.now + order.answer_timeout, action));
+                    self.unanswered.push((self.harness.now + order.answer_timeout, action));
                 }
                 Action::Start { worker, order, .. } => {
-                    let result = self.start(&self.life_of(worker), order);
+                    let result = self.start(&self.incarnation_of(worker), order);
                     self.answer_order(&action, result);
                 }
                 Action::Stop { worker, order, .. } => {
-                    let (now, life) = (self.bench.now, self.life_of(worker));
+                    let (now, life) = (self.harness.now, self.incarnation_of(worker));
                     let Some(host) = self.hosts.get_mut(&life) else { continue };
                     let result = host.stop(now, order).map_err(CallError::Refused);
                     self.answer_order(&action, result);
@@ -417,11 +417,11 @@
     }
 
     fn is_silent(&self, id: &WorkerId) -> bool {
-        self.hosts.get(&self.life_of(id)).is_none_or(|h| h.fake.silent)
+        self.hosts.get(&self.incarnation_of(id)).is_none_or(|h| h.fake.silent)
     }
 
     fn start(&mut self, worker: &WorkerId, order: &StartOrder) -> Result<(), CallError> {
-        let now = self.bench.now;
+        let now = self.harness.now;
         let TaskKey { step, index } = order.task;
         let Some(job) = self.jobs.get_mut(&step.job) else { return Ok(()) };
         let spec = job.spec.steps[step.step as usize].clone();
@@ -437,13 +437,13 @@
             self.note_begun(worker, &order.task, order.run);
         }
         match began && self.crashes.is_at_start(&order.task) {
-            true => Err(SILENT()),
+            true => Err(NO_ANSWER()),
             false => Ok(()),
         }
     }
 
     fn answer_order(&mut self, action: &Action, result: Result<(), CallError>) {
-        let result = result.map(|()| self.bench.now);
+        let result = result.map(|()| self.harness.now);
         match action.clone() {
             Action::Start { worker, order, .. } => {
                 let (task, run) = (order.task, order.run);
@@ -457,18 +457,18 @@
         }
     }
 
-    fn tell_silence(&mut self) {
-        let now = self.bench.now;
+    fn fail_unanswered_orders(&mut self) {
+        let now = self.harness.now;
         let (due, rest): (Vec<(Millis, Action)>, _) =
             std::mem::take(&mut self.unanswered).into_iter().partition(|(due, _)| *due <= now);
         self.unanswered = rest;
         for (_, action) in due {
-            self.answer_order(&action, Err(SILENT()));
+            self.answer_order(&action, Err(NO_ANSWER()));
         }
     }
 
     fn answer_renewals(&mut self) {
-        let now = self.bench.now;
+        let now = self.harness.now;
         let answers =
             self.hosts.iter_mut().filter_map(|(id, h)| Some((id.clone(), h.answer(now)?)));
         for (id, (sent_at, result)) in answers.collect::<Vec<_>>() {
@@ -487,10 +487,10 @@
 
     /// Takes up what the dispatcher wants done.
     fn collect(&mut self) {
-        let due = self.bench.now + COMMIT;
-        let batches = self.bench.pending.drain(..);
+        let due = self.harness.now + COMMIT;
+        let batches = self.harness.pending.drain(..);
         self.committing.extend(batches.map(|(number, commands)| (due, number, commands)));
-        for action in std::mem::take(&mut self.bench.actions) {
+        for action in std::mem::take(&mut self.harness.actions) {
             match action {
                 Action::RequestAdvice(ask) => self.ask(ask),
                 Action::Reply { token, answer: Answer::Accepted } => {
@@ -499,7 +499,7 @@
                     }
                 }
                 Action::LogEvent { kind, subject, details } => {
-                    let text = format!("{:?} {} {subject} {details}", self.bench.now, kind.name);
+                    let text = format!("{:?} {} {subject} {details}", self.harness.now, kind.name);
                     self.notes.push((subject, text));
                 }
                 Action::Reply { .. } => {}
@@ -514,25 +514,26 @@
         let (base, each) = if is_quick { SHORT_CALL } else { LONG_CALL };
         let takes = Millis((base + each * ask.workers.len() as u64) / 1_000);
         let free_at = self.busy_until.entry(ask.caller.clone()).or_default();
-        let due = self.bench.now.max(*free_at) + takes;
+        let due = self.harness.now.max(*free_at) + takes;
         *free_at = due;
-        self.asked.push(Asked { due, ask });
+        self.asked.push(PendingAdvice { due, ask });
     }
 
     /// Lets the load go down: what lasts is cancelled, and everything else must come to its end.
-    pub fn settle(&mut self, within: Millis) {
-        let lasting = self.jobs.iter().filter(|(_, j)| j.kind == Kind::Lasting);
-        for (id, path) in lasting.map(|(id, j)| (*id, j.path.clone())).collect::<Vec<_>>() {
+    pub fn finish_all_jobs(&mut self, within: Millis) {
+        let long_running_jobs = self.jobs.iter().filter(|(_, j)| j.kind == Kind::LongRunning);
+        for (id, path) in long_running_jobs.map(|(id, j)| (*id, j.path.clone())).collect::<Vec<_>>()
+        {
             self.call(id, path, Verb::Cancel);
         }
-        let until = self.bench.now + within;
-        while self.bench.now < until && !self.is_over() {
+        let until = self.harness.now + within;
+        while self.harness.now < until && !self.is_over() {
             self.step();
         }
         for (id, job) in &self.jobs {
-            let state = self.bench.committed.job(*id).map(|j| j.state);
+            let state = self.harness.committed.job(*id).map(|j| j.state);
             let wanted = match job.kind {
-                Kind::Lasting => JobState::Cancelled,
+                Kind::LongRunning => JobState::Cancelled,
                 _ => JobState::Completed,
             };
             assert_eq!(state, Some(wanted), "seed {}: {id}, {:?}", self.seed, job.kind);
@@ -540,7 +541,7 @@
     }
 
     fn is_over(&self) -> bool {
-        let is_final = |id| self.bench.committed.job(id).is_some_and(|j| j.state.is_final());
+        let is_final = |id| self.harness.committed.job(id).is_some_and(|j| j.state.is_final());
         self.jobs.keys().all(|id| is_final(*id))
     }
 
@@ -554,7 +555,7 @@
     }
 
     /// Draws a number below another one.
-    pub fn below(&mut self, end: u64) -> u64 {
+    pub fn random_below(&mut self, end: u64) -> u64 {
         self.rng.random_range(0..end)
     }
 }
--- a/components/dispatch/tests/common/fleet/checks.rs
+++ b/components/dispatch/tests/common/fleet/checks.rs
@@ -3,7 +3,7 @@
 use workload::JobId;
 
 use super::Fleet;
-use crate::common::away::Around;
+use crate::common::downtime_checker::FleetState;
 
 impl Fleet {
     /// Looks for what must not be: a worker over its room, and work that stands beside room for it.
@@ -13,17 +13,17 @@
             assert!(used.fits(&capacity), "{id} is over its room: {used} of {capacity}");
         }
         if !self.has_leader || self.hosts.values().any(|h| h.failing) {
-            self.note_trouble();
+            self.note_disturbance();
         }
         self.check_lasting();
         if !self.has_leader {
-            self.watch.reset();
+            self.wait_checker.reset();
             return;
         }
-        let (now, replicated) = (self.bench.now, self.bench.dispatcher.replicated());
-        let standing = self.watch.look(now, replicated, &self.hosts, &self.service);
+        let (now, replicated) = (self.harness.now, self.harness.dispatcher.replicated());
+        let standing = self.wait_checker.examine(now, replicated, &self.hosts, &self.service);
         if let Some(standing) = standing {
-            let figures = self.bench.dispatcher.figures();
+            let figures = self.harness.dispatcher.figures();
             let trace = self.trace(standing.task.step.job);
             panic!("seed {}, {now:?}: {standing:#?}\n{figures:#?}\n{trace}", self.seed);
         }
@@ -31,16 +31,17 @@
 
     /// Checks that no task that lasts is away for long beside room.
     fn check_lasting(&mut self) {
-        let around = Around {
-            replicated: &self.bench.committed,
+        let around = FleetState {
+            replicated: &self.harness.committed,
             hosts: &self.hosts,
             service: &self.service,
-            trouble_at: self.trouble_at,
+            disturbed_at: self.disturbed_at,
         };
         // A task that ends its workers may wait until that is understood.
-        let jobs = self.lasting.iter().filter(|id| !self.watch.faulty.contains(id));
-        if let Some(missing) = self.away.look(self.bench.now, jobs, &around) {
-            let (now, figures) = (self.bench.now, self.bench.dispatcher.figures());
+        let jobs =
+            self.long_running_jobs.iter().filter(|id| !self.wait_checker.faulty.contains(id));
+        if let Some(missing) = self.downtime_checker.examine(self.harness.now, jobs, &around) {
+            let (now, figures) = (self.harness.now, self.harness.dispatcher.figures());
             let trace = self.trace(missing.task.step.job);
             panic!("seed {}, {now:?}: {missing:#?}\n{figures:#?}\n{trace}", self.seed);
         }
--- a/components/dispatch/tests/common/fleet/crash.rs
+++ b/components/dispatch/tests/common/fleet/crash.rs
@@ -23,7 +23,7 @@
     /// The crashes to come: when, where and by which run.
     due: Vec<(Millis, WorkerId, TaskKey, u32)>,
     /// The lives to come: when, and after whom.
-    reborn: Vec<(Millis, WorkerId)>,
+    due_restarts: Vec<(Millis, WorkerId)>,
     /// How long a worker is down.
     pub down_for: Millis,
     /// Whether the next lives of crashed workers come at all.
@@ -39,7 +39,7 @@
         Crashes {
             faults: BTreeMap::new(),
             due: Vec::new(),
-            reborn: Vec::new(),
+            due_restarts: Vec::new(),
             down_for: Millis(3_200),
             come_back: true,
             under: BTreeMap::new(),
@@ -67,8 +67,8 @@
     /// Has what is to come of a worker come of it under another id.
     pub(super) fn rename(&mut self, old: &WorkerId, new: &WorkerId) {
         let due = self.due.iter_mut().map(|(_, worker, ..)| worker);
-        let reborn = self.reborn.iter_mut().map(|(_, worker)| worker);
-        due.chain(reborn).filter(|w| *w == old).for_each(|w| *w = new.clone());
+        let due_restarts = self.due_restarts.iter_mut().map(|(_, worker)| worker);
+        due.chain(due_restarts).filter(|w| *w == old).for_each(|w| *w = new.clone());
     }
 
     pub(super) fn is_at_start(&self, task: &TaskKey) -> bool {
@@ -90,24 +90,24 @@
     /// Makes a task end each worker that runs it.
     pub fn make_faulty(&mut self, task: TaskKey, fault: Fault) {
         self.crashes.faults.insert(task, fault);
-        self.watch.faulty.insert(task.step.job);
+        self.wait_checker.faulty.insert(task.step.job);
     }
 
     /// Ends a worker's life at once with all that it runs; it comes back as another one.
     pub fn crash(&mut self, id: &WorkerId) {
-        self.note_trouble();
-        let now = self.bench.now;
+        self.note_disturbance();
+        let now = self.harness.now;
         let Some(host) = self.hosts.get_mut(id) else { return };
         for task in host.crash() {
             *self.crashes.under.entry(task).or_default() += 1;
         }
         if self.crashes.come_back {
-            self.crashes.reborn.push((now + self.crashes.down_for, id.clone()));
+            self.crashes.due_restarts.push((now + self.crashes.down_for, id.clone()));
         }
     }
 
-    pub(super) fn let_crash(&mut self) {
-        let now = self.bench.now;
+    pub(super) fn crash_due_workers(&mut self) {
+        let now = self.harness.now;
         let is_due = |due: &(Millis, WorkerId, TaskKey, u32)| due.0 <= now;
         let (due, rest): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.crashes.due).into_iter().partition(is_due);
@@ -121,11 +121,12 @@
         }
     }
 
-    pub(super) fn let_come_back(&mut self) {
-        let now = self.bench.now;
-        let (due, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.crashes.reborn).into_iter().partition(|(at, _)| *at <= now);
-        self.crashes.reborn = rest;
+    pub(super) fn restart_due_workers(&mut self) {
+        let now = self.harness.now;
+        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.crashes.due_restarts)
+            .into_iter()
+            .partition(|(at, _)| *at <= now);
+        self.crashes.due_restarts = rest;
         for (_, old) in due {
             let Some(host) = self.hosts.get_mut(&old) else { continue };
             host.replaced = true;
@@ -133,10 +134,10 @@
             let mut info = host.info.clone();
             // A worker that says births keeps its name.
             info.id = match old.incarnation() {
-                Some(_) => WorkerId::with_incarnation(old.name(), Some(self.bench.now.0)),
+                Some(_) => WorkerId::with_incarnation(old.name(), Some(self.harness.now.0)),
                 None => WorkerId::from(format!("{old}'").as_str()),
             };
-            self.note_trouble();
+            self.note_disturbance();
             self.admit(info);
         }
     }
--- a/components/dispatch/tests/common/fleet/fail.rs
+++ b/components/dispatch/tests/common/fleet/fail.rs
@@ -61,22 +61,22 @@
         if let Some(host) = self.hosts.get_mut(id) {
             host.failing = failing;
         }
-        self.note_trouble();
+        self.note_disturbance();
     }
 
     /// Has all runs of a job fail wherever they are.
-    pub fn make_undoable(&mut self, job: JobId) {
+    pub fn fail_all_runs(&mut self, job: JobId) {
         self.failures.jobs.insert(job);
     }
 
     /// Has each run of a task fail after a while, wherever it is.
-    pub fn make_restless(&mut self, task: TaskKey, after: Millis) {
+    pub fn fail_runs_after(&mut self, task: TaskKey, after: Millis) {
         self.failures.after.insert(task, after);
     }
 
     /// Ends a run as failed now, if the task runs anywhere.
     pub fn fail_now(&mut self, task: &TaskKey) -> Option<WorkerId> {
-        let now = self.bench.now;
+        let now = self.harness.now;
         let (id, host) = self.hosts.iter_mut().find(|(_, h)| h.fake.running.contains_key(task))?;
         host.end(now, *task, EndKind::Failed);
         Some(id.clone())
@@ -84,7 +84,7 @@
 
     /// Notes that a run has begun, and when it is to fail.
     pub(super) fn note_begun(&mut self, worker: &WorkerId, task: &TaskKey, run: u32) {
-        let now = self.bench.now;
+        let now = self.harness.now;
         let parts = [task.step.job.0, u64::from(task.index), u64::from(run), now.0];
         let soon = Millis(SOONEST + draw(self.seed, &parts) % LATER);
         let is_wasted = self.hosts[worker].failing;
@@ -97,8 +97,8 @@
         self.failures.due.extend(due);
     }
 
-    pub(super) fn let_fail(&mut self) {
-        let now = self.bench.now;
+    pub(super) fn fail_due_runs(&mut self) {
+        let now = self.harness.now;
         let is_due = |due: &(Millis, WorkerId, TaskKey, u32)| due.0 <= now;
         let (due, rest): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.failures.due).into_iter().partition(is_due);
--- a/components/dispatch/tests/common/fleet/lives.rs
+++ b/components/dispatch/tests/common/fleet/incarnations.rs
@@ -6,37 +6,37 @@
 use workload::WorkerId;
 
 use super::{Fleet, Input, STEP};
-use crate::common::SILENT;
+use crate::common::NO_ANSWER;
 
 impl Fleet {
     /// Has a worker that said no births say from now on when its life began.
-    pub fn say_birth(&mut self, id: &WorkerId) {
+    pub fn announce_incarnation(&mut self, id: &WorkerId) {
         let Some(mut host) = self.hosts.remove(id) else { return };
-        let life = WorkerId::with_incarnation(id.name(), Some(self.bench.now.0));
+        let life = WorkerId::with_incarnation(id.name(), Some(self.harness.now.0));
         host.info.id = life.clone();
-        host.drop_held();
+        host.drop_renewal();
         let number = self.service.number(id);
         self.service.numbers.insert(life.clone(), number);
         self.crashes.rename(id, &life);
         self.hosts.insert(life.clone(), host);
         self.named.insert(id.clone(), life.clone());
         // The renewal that names no birth ends with its connection.
-        let (worker, sent_at) = (id.clone(), self.bench.now.since(STEP));
-        self.handle(Input::Renewed { worker, sent_at, result: Err(SILENT()) });
+        let (worker, sent_at) = (id.clone(), self.harness.now.since(STEP));
+        self.handle(Input::Renewed { worker, sent_at, result: Err(NO_ANSWER()) });
         self.announce(&life);
     }
 
     /// Gives the life that a call for this id reaches.
-    pub(super) fn life_of(&self, id: &WorkerId) -> WorkerId {
+    pub(super) fn incarnation_of(&self, id: &WorkerId) -> WorkerId {
         self.named.get(id).unwrap_or(id).clone()
     }
 
     /// Answers a renewal that names no birth.
-    pub(super) fn tell_birth(&mut self, id: &WorkerId) {
-        let life = self.life_of(id);
+    pub(super) fn answer_with_incarnation(&mut self, id: &WorkerId) {
+        let life = self.incarnation_of(id);
         let is_there = self.hosts.get(&life).is_some_and(|h| !h.fake.silent);
-        let result = if is_there { Err(CallError::Named(life)) } else { Err(SILENT()) };
-        let (worker, sent_at) = (id.clone(), self.bench.now.since(STEP));
+        let result = if is_there { Err(CallError::Named(life)) } else { Err(NO_ANSWER()) };
+        let (worker, sent_at) = (id.clone(), self.harness.now.since(STEP));
         self.handle(Input::Renewed { worker, sent_at, result });
     }
 
@@ -52,12 +52,12 @@
     }
 
     /// Gives the workers whose lives are over.
-    pub fn lives_over(&self) -> Vec<WorkerId> {
+    pub fn replaced_workers(&self) -> Vec<WorkerId> {
         self.workers(|h| h.replaced)
     }
 
     /// Asserts that no task runs in two places.
-    pub fn check_once(&self) {
+    pub fn check_no_duplicate_runs(&self) {
         let mut seen = std::collections::BTreeMap::new();
         for (id, host) in self.hosts.iter().filter(|(_, h)| !h.crashed) {
             for task in host.fake.running.keys() {
@@ -65,7 +65,7 @@
                 assert!(
                     other.is_none(),
                     "{task} runs on {id} and on {other:?}, {:?}",
-                    self.bench.now
+                    self.harness.now
                 );
             }
         }
@@ -73,6 +73,6 @@
 
     /// How long ago a life began that bears a birth.
     pub fn age(&self, id: &WorkerId) -> Millis {
-        self.bench.now.since(Millis(id.incarnation().unwrap_or(0)))
+        self.harness.now.since(Millis(id.incarnation().unwrap_or(0)))
     }
 }
--- a/components/dispatch/tests/common/host.rs
+++ b/components/dispatch/tests/common/host.rs
@@ -86,12 +86,12 @@
     }
 
     /// Gives the tasks that last and run here.
-    pub fn lasting(&self) -> impl Iterator<Item = TaskKey> + '_ {
+    pub fn long_running_tasks(&self) -> impl Iterator<Item = TaskKey> + '_ {
         self.runs.iter().filter(|(_, p)| p.spec.long_running).map(|(key, _)| *key)
     }
 
     /// Lets runs come on and end; `present` gives how many members of each gang run anywhere.
-    pub fn come_on(&mut self, now: Millis, present: &BTreeMap<StepKey, u32>) {
+    pub fn advance_runs(&mut self, now: Millis, present: &BTreeMap<StepKey, u32>) {
         self.fake.lapse(now);
         self.drop_ended();
         let mut over = Vec::new();
@@ -197,7 +197,7 @@
         }
         if self.fake.silent {
             let given_up = self.crashed || now >= held.answer_at + held.answer_timeout;
-            return given_up.then(|| self.answered(sent_at, Err(super::SILENT())));
+            return given_up.then(|| self.answered(sent_at, Err(super::NO_ANSWER())));
         }
         if self.fake.ends.is_empty() && now < held.answer_at {
             return None;
@@ -221,7 +221,7 @@
     }
 
     /// Forgets the renewal of a leader that is gone.
-    pub fn drop_held(&mut self) {
+    pub fn drop_renewal(&mut self) {
         self.held = None;
     }
 }
--- a/components/dispatch/tests/common/mod.rs
+++ b/components/dispatch/tests/common/mod.rs
@@ -1,15 +1,15 @@
 //! A dispatcher with a hand-driven log, clock and workers.
 #![allow(dead_code)]
 
-pub mod away;
+pub mod downtime_checker;
 pub mod fleet;
 pub mod host;
 pub mod mix;
 pub mod organisations;
+pub mod random_simulation;
 pub mod setups;
-pub mod watch;
+pub mod wait_checker;
 pub mod worker;
-pub mod world;
 
 use std::sync::Arc;
 
@@ -78,7 +78,7 @@
 }
 
 /// The driven dispatcher.
-pub struct Bench {
+pub struct Harness {
     pub dispatcher: Dispatcher,
     pub now: Millis,
     /// What is committed, as another member would hold it.
@@ -86,9 +86,9 @@
     /// Batches that were proposed and not committed.
     pub pending: Vec<(u64, Vec<Command>)>,
     pub actions: Vec<Action>,
-    pub leads: bool,
+    pub is_leader: bool,
     /// How far the wall clock has jumped back.
-    pub wall_behind: Millis,
+    pub wall_clock_lag: Millis,
     next_token: u64,
 }
 
@@ -117,7 +117,7 @@
     WorkerId::from(name)
 }
 
-pub fn news(name: &str, cores: u64) -> WorkerAnnouncement {
+pub fn announcement(name: &str, cores: u64) -> WorkerAnnouncement {
     WorkerAnnouncement {
         info: WorkerInfo {
             id: worker(name),
@@ -142,18 +142,18 @@
     RunStatus { task, run, checkpoint: Arc::from(""), percent: 0, usage: None }
 }
 
-pub const SILENT: fn() -> CallError = || CallError::Silent("no answer".into());
+pub const NO_ANSWER: fn() -> CallError = || CallError::Silent("no answer".into());
 
-impl Bench {
+impl Harness {
     /// Begins with an empty book and a configuration of three queues.
-    pub fn new(config: &str) -> Bench {
+    pub fn new(config: &str) -> Harness {
         let mut replicated = ReplicatedState::default();
         replicated.apply(&Command::Configure(Document { version: 1, text: config.into() }));
-        Bench::take_over(replicated, 1, Millis(1_000_000))
+        Harness::take_over(replicated, 1, Millis(1_000_000))
     }
 
     /// Begins as a new leader over what is committed.
-    pub fn take_over(replicated: ReplicatedState, term: u64, now: Millis) -> Bench {
+    pub fn take_over(replicated: ReplicatedState, term: u64, now: Millis) -> Harness {
         let m = Moment { now, wall: now, leads_until: now + Millis(1_000) };
         let setup = Setup {
             limits: Limits::default(),
@@ -161,21 +161,21 @@
             reader: Arc::new(ThreeQueues),
             replicated: replicated.clone(),
         };
-        Bench {
+        Harness {
             dispatcher: Dispatcher::new(setup, m),
             now,
             committed: replicated,
             pending: Vec::new(),
             actions: Vec::new(),
-            leads: true,
-            wall_behind: Millis::ZERO,
+            is_leader: true,
+            wall_clock_lag: Millis::ZERO,
             next_token: 0,
         }
     }
 
     pub fn moment(&self) -> Moment {
-        let leads_until = if self.leads { self.now + Millis(1_000) } else { Millis::ZERO };
-        Moment { now: self.now, wall: self.now.since(self.wall_behind), leads_until }
+        let leads_until = if self.is_leader { self.now + Millis(1_000) } else { Millis::ZERO };
+        Moment { now: self.now, wall: self.now.since(self.wall_clock_lag), leads_until }
     }
 
     /// Feeds one input and collects what follows, without committing anything.
@@ -201,7 +201,7 @@
     }
 
     /// Lets time pass with a tick.
-    pub fn pass(&mut self, span: Millis) {
+    pub fn advance(&mut self, span: Millis) {
         self.now += span;
         self.feed(Input::Tick);
         self.commit();
@@ -224,7 +224,7 @@
     }
 
     /// Hands in a job on behalf of whoever holds a key.
-    pub fn submit_with(&mut self, key: &str, path: &str, spec: Arc<JobSpec>) -> u64 {
+    pub fn submit_with_key(&mut self, key: &str, path: &str, spec: Arc<JobSpec>) -> u64 {
         self.call_with(organisations::with_key(key), path, Verb::Submit(spec))
     }
 
@@ -246,12 +246,12 @@
     }
 
     /// Says which instances can call for advice.
-    pub fn helpers(&mut self, names: &[&str]) {
+    pub fn set_advice_callers(&mut self, names: &[&str]) {
         self.feed(Input::AdviceCallers(names.iter().map(|n| InstanceId::from(*n)).collect()));
     }
 
     /// Gives the calls for advice that have left, or only those on one job.
-    pub fn asks(&self, of: Option<u64>) -> Vec<AdviceRequest> {
+    pub fn advice_requests(&self, of: Option<u64>) -> Vec<AdviceRequest> {
         let ask = |a: &Action| match a {
             Action::RequestAdvice(ask) => Some(ask.clone()),
             _ => None,
@@ -261,7 +261,7 @@
     }
 
     /// Answers a call for advice: these workers are allowed.
-    pub fn advise(&mut self, ask: &AdviceRequest, allowed: &[&str]) {
+    pub fn answer_advice(&mut self, ask: &AdviceRequest, allowed: &[&str]) {
         let allowed = allowed.iter().map(|w| (worker(w), "ticket".into())).collect();
         let valid = Some(Millis(2_000));
         self.feed(Input::Advised { id: ask.id, valid, allowed: Some(allowed) });
@@ -275,17 +275,17 @@
 
     /// The same in an availability zone.
     pub fn join_in(&mut self, zone: &str, name: &str, cores: u64) {
-        let mut news = news(name, cores);
-        news.info.zone = zone.into();
-        self.join_as(news);
+        let mut announcement = announcement(name, cores);
+        announcement.info.zone = zone.into();
+        self.join_as(announcement);
     }
 
     /// Lets a worker join as it announces itself.
-    pub fn join_as(&mut self, news: WorkerAnnouncement) {
-        let id = news.info.id.clone();
-        self.feed(Input::Announcement(news));
+    pub fn join_as(&mut self, announcement: WorkerAnnouncement) {
+        let id = announcement.info.id.clone();
+        self.feed(Input::Announcement(announcement));
         self.commit();
-        self.pass(Millis(1));
+        self.advance(Millis(1));
         self.report(&id.0, vec![], vec![]);
     }
 
@@ -302,15 +302,15 @@
     }
 
     /// Lets time pass while one worker answers no renewal and another one answers all.
-    pub fn stay_silent(&mut self, silent: &str, well: &str, span: Millis) {
+    pub fn advance_with_silent(&mut self, silent: &str, well: &str, span: Millis) {
         let until = self.now + span;
         let mut failed = 0;
         while self.now < until {
             if self.renewals(silent).len() > failed {
                 failed = self.renewals(silent).len();
-                self.renewal_fails(silent, SILENT());
+                self.renewal_fails(silent, NO_ANSWER());
             }
-            self.pass(Millis(100));
+            self.advance(Millis(100));
             self.report(well, vec![], vec![]);
         }
     }
--- a/components/dispatch/tests/common/world.rs
+++ b/components/dispatch/tests/common/random_simulation.rs
@@ -14,12 +14,12 @@
 
 use super::organisations::{ORGANISATIONS, configuration, key_of, with_key};
 use super::worker::FakeWorker;
-use super::{Bench, SILENT, spec, step};
+use super::{Harness, NO_ANSWER, spec, step};
 
 const CORES: u64 = 4;
 
-pub struct World {
-    pub bench: Bench,
+pub struct RandomSimulation {
+    pub harness: Harness,
     rng: StdRng,
     pub workers: BTreeMap<String, FakeWorker>,
     /// Orders that are carried out later, after no answer.
@@ -49,10 +49,10 @@
     }
 }
 
-impl World {
-    pub fn new(seed: u64) -> World {
-        let mut world = World {
-            bench: Bench::new(""),
+impl RandomSimulation {
+    pub fn new(seed: u64) -> RandomSimulation {
+        let mut world = RandomSimulation {
+            harness: Harness::new(""),
             rng: StdRng::seed_from_u64(seed),
             workers: BTreeMap::new(),
             late: Vec::new(),
@@ -67,11 +67,11 @@
     }
 
     /// Makes a world in which every job belongs to an organisation, and limits change.
-    pub fn with_organisations(seed: u64) -> World {
-        let mut world = World::new(seed);
+    pub fn with_organisations(seed: u64) -> RandomSimulation {
+        let mut world = RandomSimulation::new(seed);
         world.limits = Some(Limits::default());
         world.change_limits();
-        world.bench.commit();
+        world.harness.commit();
         world
     }
 
@@ -93,17 +93,17 @@
         let version = limits.sent.keys().max().copied().unwrap_or(1) + 1;
         let text = configuration(drawn.iter().map(|(name, limit)| (name.as_ref(), *limit)));
         limits.sent.insert(version, drawn);
-        self.bench.call(Call::Publish(Document { version, text: text.as_str().into() }));
+        self.harness.call(Call::Publish(Document { version, text: text.as_str().into() }));
     }
 
     /// Hands in a job at a queue, on behalf of an organisation if there are any.
-    fn hand_in(&mut self, queue: &str, job: Arc<JobSpec>) {
+    fn submit_job(&mut self, queue: &str, job: Arc<JobSpec>) {
         let path = format!("/{queue}/{:016x}", self.jobs);
         match self.limits {
-            None => self.bench.call_path(&path, Verb::Submit(job)),
+            None => self.harness.call_path(&path, Verb::Submit(job)),
             Some(_) => {
                 let name = ORGANISATIONS.choose(&mut self.rng).copied().unwrap_or_default();
-                self.bench.submit_with(&key_of(name), &path, job)
+                self.harness.submit_with_key(&key_of(name), &path, job)
             }
         };
     }
@@ -111,21 +111,21 @@
     /// Cancels a job on behalf of whoever handed it in.
     pub fn cancel(&mut self, id: JobId) {
         let path = format!("/q/{id}");
-        let owner = self.bench.dispatcher.replicated().ownership().owner(id).cloned();
+        let owner = self.harness.dispatcher.replicated().ownership().owner(id).cloned();
         match owner {
-            None => self.bench.call_path(&path, Verb::Cancel),
-            Some(name) => self.bench.call_with(with_key(&key_of(&name)), &path, Verb::Cancel),
+            None => self.harness.call_path(&path, Verb::Cancel),
+            Some(name) => self.harness.call_with(with_key(&key_of(&name)), &path, Verb::Cancel),
         };
     }
 
     fn announce(&mut self, name: &str) {
         self.workers.insert(name.to_string(), FakeWorker::default());
-        self.bench.feed(Input::Announcement(super::news(name, CORES)));
+        self.harness.feed(Input::Announcement(super::announcement(name, CORES)));
     }
 
     /// Carries out what the dispatcher wants done, each order with its own luck.
     pub fn perform(&mut self) {
-        for action in std::mem::take(&mut self.bench.actions) {
+        for action in std::mem::take(&mut self.harness.actions) {
             match action {
                 Action::Renew { .. } | Action::Start { .. } | Action::Stop { .. } => {
                     self.note_limit(&action);
@@ -140,14 +140,14 @@
         let luck = self.rng.random_range(0..20);
         let silent = self.worker_of(&action).is_some_and(|w| w.silent);
         if silent || luck == 0 {
-            self.answer(&action, Err(SILENT()));
+            self.answer(&action, Err(NO_ANSWER()));
         } else if luck == 1 {
             self.late.push(action.clone());
-            self.answer(&action, Err(SILENT()));
+            self.answer(&action, Err(NO_ANSWER()));
         } else if luck == 2 {
             // It is carried out, and the answer is lost.
             let _ = self.carry_out(&action);
-            self.answer(&action, Err(SILENT()));
+            self.answer(&action, Err(NO_ANSWER()));
         } else {
             let result = self.carry_out(&action);
             self.answer(&action, result);
@@ -165,7 +165,7 @@
     }
 
     fn carry_out(&mut self, action: &Action) -> Result<Report, CallError> {
-        let now = self.bench.now;
+        let now = self.harness.now;
         let Some(worker) = self.worker_of(action) else {
             return Err(CallError::Refused(Refusal::OtherLife));
         };
@@ -193,7 +193,7 @@
         let (Some(limits), Action::Start { order, .. }) = (&mut self.limits, action) else {
             return;
         };
-        let replicated = &self.bench.committed;
+        let replicated = &self.harness.committed;
         let Some(owner) = replicated.ownership().owner(order.task.step.job) else { return };
         let highest = limits.highest(replicated.document().version, owner);
         limits.at_order.entry((order.task, order.run)).or_insert(highest);
@@ -204,7 +204,7 @@
     fn check_limits(&self) {
         let Some(limits) = &self.limits else { return };
         let mut of: BTreeMap<&Name, (Size, u64)> = BTreeMap::new();
-        let (now, replicated) = (self.bench.now, &self.bench.committed);
+        let (now, replicated) = (self.harness.now, &self.harness.committed);
         let alive = self.workers.values().filter(|w| now < w.lease);
         for (task, run) in alive.flat_map(|w| &w.running) {
             let Some(owner) = replicated.ownership().owner(task.step.job) else { continue };
@@ -220,33 +220,33 @@
 
     /// What must hold when a task begins.
     fn check_start(&self, key: TaskKey) {
-        let now = self.bench.now;
+        let now = self.harness.now;
         let alive = |w: &&FakeWorker| w.running.contains_key(&key) && now < w.lease;
         assert_eq!(self.workers.values().filter(alive).count(), 1, "{key} runs twice");
         for (name, worker) in &self.workers {
-            let size = |key: &TaskKey| self.bench.committed.step_spec(&key.step).map(|s| s.size);
+            let size = |key: &TaskKey| self.harness.committed.step_spec(&key.step).map(|s| s.size);
             let taken = worker.running.keys().filter_map(size).fold(0, |n, s| n + s.cpu_milli);
             assert!(taken <= CORES * 1_000, "{name} is over its room");
         }
         self.check_limits();
-        let noted = self.bench.committed.task(&key).is_some_and(|t| t.done);
+        let noted = self.harness.committed.task(&key).is_some_and(|t| t.done);
         assert!(!noted, "{key} starts after its end was noted");
     }
 
     fn answer(&mut self, action: &Action, result: Result<Report, CallError>) {
-        let sent_at = self.bench.now;
+        let sent_at = self.harness.now;
         let clock = result.clone().map(|r| r.clock);
         match action.clone() {
             Action::Renew { worker, .. } => {
-                self.bench.feed(Input::Renewed { worker, sent_at, result });
+                self.harness.feed(Input::Renewed { worker, sent_at, result });
             }
             Action::Start { worker, order, .. } => {
                 let (task, run) = (order.task, order.run);
-                self.bench.feed(Input::Started { worker, task, run, result: clock });
+                self.harness.feed(Input::Started { worker, task, run, result: clock });
             }
             Action::Stop { worker, order, .. } => {
                 let (task, run) = (order.task, order.run);
-                self.bench.feed(Input::Stopped { worker, task, run, result: clock });
+                self.harness.feed(Input::Stopped { worker, task, run, result: clock });
             }
             _ => {}
         }
@@ -264,7 +264,7 @@
                 self.submit(steps);
             }
             5..=9 => self.finish_some(),
-            10..=12 => self.bench.commit(),
+            10..=12 => self.harness.commit(),
             13 => {
                 let id = self.rng.random_range(1..=self.jobs.max(1));
                 self.cancel(JobId(id));
@@ -274,17 +274,17 @@
             16 => self.replace_leader(),
             17 => self.carry_out_late(),
             20 if self.limits.is_some() => self.change_limits(),
-            18 => self.pass(Millis(2_000)),
-            _ => self.pass(Millis(60)),
+            18 => self.advance(Millis(2_000)),
+            _ => self.advance(Millis(60)),
         }
         self.perform();
     }
 
-    pub fn pass(&mut self, span: Millis) {
-        self.bench.now += span;
-        let now = self.bench.now;
+    pub fn advance(&mut self, span: Millis) {
+        self.harness.now += span;
+        let now = self.harness.now;
         self.workers.values_mut().for_each(|w| w.lapse(now));
-        self.bench.feed(Input::Tick);
+        self.harness.feed(Input::Tick);
     }
 
     /// Hands in a quick job, a batch job that may be stopped for others, or one that others are stopped for.
@@ -293,15 +293,15 @@
         let size = model::Size::new(3_000, 1_000, 0);
         let large = StepSpec { size, estimate: Millis(2_000), ..step(2) };
         match self.rng.random_range(0..4) {
-            0 => self.hand_in("bulk", spec(vec![keeps])),
-            1 => self.hand_in("mid", spec(vec![large])),
-            _ => self.hand_in("q", spec(steps)),
+            0 => self.submit_job("bulk", spec(vec![keeps])),
+            1 => self.submit_job("mid", spec(vec![large])),
+            _ => self.submit_job("q", spec(steps)),
         }
     }
 
     /// The members of a gang work only while all of them are there, so none is done before.
     fn can_work(&self, key: TaskKey) -> bool {
-        let Some(spec) = self.bench.committed.step_spec(&key.step) else { return true };
+        let Some(spec) = self.harness.committed.step_spec(&key.step) else { return true };
         let runs = |w: &&FakeWorker| w.running.keys().filter(|k| k.step == key.step).count();
         let present: usize = self.workers.values().map(|w| runs(&w)).sum();
         !spec.gang || present >= spec.count as usize
@@ -361,10 +361,10 @@
     /// Another instance leads, with what is committed; what was not is lost.
     fn replace_leader(&mut self) {
         self.term += 1;
-        let committed = self.bench.committed.clone();
-        self.bench = Bench::take_over(committed, self.term, self.bench.now);
+        let committed = self.harness.committed.clone();
+        self.harness = Harness::take_over(committed, self.term, self.harness.now);
         for name in self.workers.keys().cloned().collect::<Vec<_>>() {
-            self.bench.feed(Input::Announcement(super::news(&name, CORES)));
+            self.harness.feed(Input::Announcement(super::announcement(&name, CORES)));
         }
     }
 
--- a/components/dispatch/tests/common/setups.rs
+++ b/components/dispatch/tests/common/setups.rs
@@ -22,7 +22,7 @@
 }
 
 /// The same where the advice service allows every worker for every step.
-pub fn fleet_that_runs_all(seed: u64, label: &str, count: usize, capacity: Size) -> Fleet {
+pub fn fleet_allowing_all(seed: u64, label: &str, count: usize, capacity: Size) -> Fleet {
     let mut f = Fleet::new(seed, CALLERS);
     f.allow_all();
     joined(f, label, count, capacity)
@@ -30,6 +30,6 @@
 
 fn joined(mut f: Fleet, label: &str, count: usize, capacity: Size) -> Fleet {
     f.join(label, count, capacity);
-    f.pass(Millis(500));
+    f.advance(Millis(500));
     f
 }
--- a/components/dispatch/tests/common/watch.rs
+++ b/components/dispatch/tests/common/wait_checker.rs
@@ -10,7 +10,7 @@
 use super::host::Host;
 
 /// For how long a task may wait for a worker while there is room for it.
-const LONGEST: Millis = Millis(3_000);
+const MAX_WAIT: Millis = Millis(3_000);
 /// How many times the room that the waiting tasks of a step take counts as room enough: what is free in
 /// this moment may be promised to others.
 const ROOM_FACTOR: u64 = 2;
@@ -24,7 +24,7 @@
 
 /// What the workers that may run a step have.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Room {
+pub struct StepCapacity {
     workers: usize,
     capacity: Size,
     used: Size,
@@ -32,7 +32,7 @@
     fits: u64,
 }
 
-impl Room {
+impl StepCapacity {
     fn is_half_empty(&self) -> bool {
         let half = |d: &Dimension| self.used.get(*d) * 2 <= self.capacity.get(*d);
         Dimension::ALL.iter().all(half)
@@ -41,34 +41,34 @@
 
 /// A task that waits too long.
 #[derive(Debug)]
-pub struct Standing {
+pub struct StarvedTask {
     pub task: TaskKey,
     pub since: Millis,
     /// What the workers have that may run it.
-    pub room: Room,
+    pub room: StepCapacity,
 }
 
 /// Since when tasks have waited while there was room for them.
 #[derive(Default)]
-pub struct Watch {
+pub struct WaitChecker {
     since: BTreeMap<TaskKey, Millis>,
     /// Jobs with a task that ends its workers: they can never be done, so they may wait until that is understood.
     pub faulty: BTreeSet<JobId>,
     /// Whether the longest wait is noted and judged by whoever asks for it, rather than at once.
-    pub only_notes: bool,
+    pub record_only: bool,
     /// The longest such wait seen.
     pub longest: Millis,
 }
 
-impl Watch {
+impl WaitChecker {
     /// Looks at all steps that wait; gives a task that has waited too long.
-    pub fn look(
+    pub fn examine(
         &mut self,
         now: Millis,
         replicated: &ReplicatedState,
         hosts: &BTreeMap<WorkerId, Host>,
         service: &Service,
-    ) -> Option<Standing> {
+    ) -> Option<StarvedTask> {
         let usable = hosts.iter().filter(|(_, h)| h.is_usable());
         let usable: Vec<Usable<'_>> = usable
             .map(|(id, host)| Usable { host, number: service.number(id), free: host.free() })
@@ -91,8 +91,8 @@
                 let at = self.since.get(&task).copied().unwrap_or(now);
                 since.insert(task, at);
                 self.longest = self.longest.max(now.since(at));
-                if now.since(at) >= LONGEST && !self.only_notes {
-                    standing.get_or_insert(Standing { task, since: at, room });
+                if now.since(at) >= MAX_WAIT && !self.record_only {
+                    standing.get_or_insert(StarvedTask { task, since: at, room });
                 }
             }
         }
@@ -106,12 +106,17 @@
     }
 }
 
-fn room(entry: &OpenStep, spec: &StepSpec, usable: &[Usable<'_>], service: &Service) -> Room {
+fn room(
+    entry: &OpenStep,
+    spec: &StepSpec,
+    usable: &[Usable<'_>],
+    service: &Service,
+) -> StepCapacity {
     let per = |free: u64, need: u64| free.checked_div(need).unwrap_or(u64::MAX);
-    let mut room = Room::default();
+    let mut room = StepCapacity::default();
     for Usable { host, number, free } in usable {
         let labelled = spec.constraint.as_ref().is_none_or(|l| host.info.labels.contains(l));
-        let most = most_more(entry, spec, host);
+        let most = remaining_per_worker(entry, spec, host);
         if !labelled || most == 0 || !service.allows(&entry.key, *number) {
             continue;
         }
@@ -127,7 +132,7 @@
 }
 
 /// Gives how many more tasks of a step a worker may run, whatever room it has.
-fn most_more(entry: &OpenStep, spec: &StepSpec, host: &Host) -> u64 {
+fn remaining_per_worker(entry: &OpenStep, spec: &StepSpec, host: &Host) -> u64 {
     let here = || host.fake.running.keys().filter(|k| k.step == entry.key).count() as u64;
     match spec.max_per_worker {
         0 => u64::MAX,
--- a/components/dispatch/tests/crash_schedules.rs
+++ b/components/dispatch/tests/crash_schedules.rs
@@ -8,7 +8,7 @@
 use common::fleet::crash::Fault;
 use common::fleet::{Fleet, Kind};
 use common::host::Host;
-use common::mix::{self, Mix};
+use common::mix::{self, JobMix};
 use common::{step, task};
 use model::Size;
 use rand::seq::IndexedRandom;
@@ -33,24 +33,24 @@
     ];
     let fault = *faults.choose(&mut f.rng).unwrap_or(&Fault::AtStart);
     let estimate = Millis(3_000);
-    let (kind, queue, spec) = match f.below(4) {
+    let (kind, queue, spec) = match f.random_below(4) {
         0 => (Kind::Gang, "mid", StepSpec { gang: true, estimate, ..step(3) }),
-        1 => (Kind::Lasting, "mid", StepSpec { long_running: true, estimate, ..step(2) }),
+        1 => (Kind::LongRunning, "mid", StepSpec { long_running: true, estimate, ..step(2) }),
         2 => (Kind::Quick, "q", StepSpec { estimate, ..step(6) }),
         _ => (Kind::Batch, "bulk", StepSpec { estimate, ..step(8) }),
     };
-    let index = f.below(u64::from(spec.count)) as u32;
-    let job = f.hand_in(kind, queue, vec![spec]);
+    let index = f.random_below(u64::from(spec.count)) as u32;
+    let job = f.submit_job(kind, queue, vec![spec]);
     f.make_faulty(task(job.0, 0, index), fault);
 }
 
 fn some(f: &mut Fleet, one_in: u64) -> Vec<WorkerId> {
-    let first = f.below(one_in) as usize;
+    let first = f.random_below(one_in) as usize;
     f.workers(Host::is_usable).into_iter().skip(first).step_by(one_in as usize).collect()
 }
 
-fn disturb(f: &mut Fleet, mix: &mut Mix, silent: &mut Vec<WorkerId>) {
-    match f.below(10) {
+fn disturb(f: &mut Fleet, mix: &mut JobMix, silent: &mut Vec<WorkerId>) {
+    match f.random_below(10) {
         0..=3 => hand_in_faulty(f),
         4 => {
             let lost = some(f, 9);
@@ -64,37 +64,37 @@
         6 => silent.drain(..).for_each(|id| f.set_silent(&id, false)),
         7 => {
             let leaving = some(f, 24);
-            leaving.iter().for_each(|id| f.give_notice(id));
+            leaving.iter().for_each(|id| f.announce_leaving(id));
         }
         8 => {
             f.lose_leader();
-            mix.play(f, Millis(700));
+            mix.drive(f, Millis(700));
             f.take_over();
         }
         _ => {}
     }
-    let pause = Millis(200 + f.below(1_500));
-    mix.play(f, pause);
+    let pause = Millis(200 + f.random_below(1_500));
+    mix.drive(f, pause);
 }
 
-fn play(seed: u64) {
+fn drive(seed: u64) {
     play_among(seed, 0);
 }
 
 /// Plays a schedule among some jobs of tasks that last and are well.
 fn play_among(seed: u64, lasting: usize) {
     let mut f = Fleet::new(seed, 12);
-    f.crashes.down_for = Millis(1_000 + f.below(6_000));
+    f.crashes.down_for = Millis(1_000 + f.random_below(6_000));
     f.join("w", 40, Size::new(8_000, 16_000, 0));
-    f.pass(Millis(500));
-    (0..lasting).for_each(|_| mix::lasting(&mut f, None));
-    let (mut mix, mut silent) = (Mix::everyday(0.35), Vec::new());
-    mix.play(&mut f, Millis(2_000));
+    f.advance(Millis(500));
+    (0..lasting).for_each(|_| mix::long_running_job(&mut f, None));
+    let (mut mix, mut silent) = (JobMix::everyday(0.35), Vec::new());
+    mix.drive(&mut f, Millis(2_000));
     for _ in 0..EVENTS {
         disturb(&mut f, &mut mix, &mut silent);
     }
     silent.iter().for_each(|id| f.set_silent(id, false));
-    f.pass(Millis(90_000));
+    f.advance(Millis(90_000));
     check(&f, seed);
 }
 
@@ -106,7 +106,7 @@
         assert!(bounded, "seed {seed}: {crashes} workers crashed under {task}");
     }
     for id in f.jobs.keys() {
-        let state = f.bench.committed.job(*id).map(|j| j.state);
+        let state = f.harness.committed.job(*id).map(|j| j.state);
         let crashes = most_under(f, *id);
         match faulty.contains(id) {
             true => assert_eq!(state, Some(JobState::Failed), "seed {seed}: {id}, {crashes}"),
@@ -114,7 +114,7 @@
                 println!("seed {seed}: {id} is given up after {crashes} crashes");
                 assert!(crashes >= u32::from(MAX_CRASHES), "seed {seed}: {id}, {crashes}");
             }
-            false if f.jobs[id].kind == Kind::Lasting => {
+            false if f.jobs[id].kind == Kind::LongRunning => {
                 assert_eq!(state, Some(JobState::Running), "seed {seed}: {id}");
             }
             false => assert_eq!(state, Some(JobState::Completed), "seed {seed}: {id}"),
@@ -137,8 +137,8 @@
     let asked = std::env::var("HEATHVALE_CRASH_SEEDS").unwrap_or_default();
     let range = asked.split_once('-').and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
     match range {
-        Some((from, to)) => (from..=to).filter(|seed| *seed != 89).for_each(play),
-        None => SEEDS.chain(REGRESSIONS).for_each(play),
+        Some((from, to)) => (from..=to).filter(|seed| *seed != 89).for_each(drive),
+        None => SEEDS.chain(REGRESSIONS).for_each(drive),
     }
 }
 
@@ -152,5 +152,5 @@
 /// workers that the leader had forgotten while they were cut off, and that never announced themselves again.
 #[test]
 fn a_gang_does_not_wait_beside_room_for_tickets_that_run_out() {
-    play(89);
+    drive(89);
 }
--- a/components/dispatch/tests/crashes.rs
+++ b/components/dispatch/tests/crashes.rs
@@ -19,8 +19,8 @@
 use common::fleet::crash::Fault;
 use common::fleet::{Fleet, Kind};
 use common::host::Host;
-use common::mix::Mix;
-use common::setups::{fleet_of, fleet_that_runs_all};
+use common::mix::JobMix;
+use common::setups::{fleet_allowing_all, fleet_of};
 use common::{step, task};
 use model::Size;
 use rstest::rstest;
@@ -38,7 +38,7 @@
 }
 
 fn state(f: &Fleet, job: JobId) -> Option<JobState> {
-    f.bench.committed.job(job).map(|j| j.state)
+    f.harness.committed.job(job).map(|j| j.state)
 }
 
 /// A step whose first task is at fault beside nine that are well.
@@ -69,10 +69,10 @@
 ) {
     for seed in 1..=3 {
         let mut f = fleet(seed);
-        let job = f.hand_in(Kind::Batch, "bulk", vec![spec.clone()]);
+        let job = f.submit_job(Kind::Batch, "bulk", vec![spec.clone()]);
         let faulty = task(job.0, 0, 0);
         f.make_faulty(faulty, fault);
-        f.pass(UNDERSTOOD);
+        f.advance(UNDERSTOOD);
         let crashes = f.crashes.under(&faulty);
         assert_eq!(crashes, MAX_CRASHES, "seed {seed}: workers crashed under the task");
         assert_eq!(state(&f, job), Some(JobState::Failed), "seed {seed}");
@@ -87,15 +87,15 @@
 fn crashes_end_the_jobs_at_fault_and_no_other() {
     for seed in 1..=3 {
         let mut f = fleet(seed);
-        let mut mix = Mix::everyday(0.3);
-        mix.play(&mut f, Millis(2_000));
+        let mut mix = JobMix::everyday(0.3);
+        mix.drive(&mut f, Millis(2_000));
         for _ in 0..20 {
-            let job = f.hand_in(Kind::Quick, "q", vec![step(6)]);
+            let job = f.submit_job(Kind::Quick, "q", vec![step(6)]);
             f.make_faulty(task(job.0, 0, 2), Fault::After(Millis(10)));
-            mix.play(&mut f, Millis(400));
+            mix.drive(&mut f, Millis(400));
         }
-        mix.play(&mut f, UNDERSTOOD);
-        f.pass(Millis(15_000));
+        mix.drive(&mut f, UNDERSTOOD);
+        f.advance(Millis(15_000));
         let faulty = f.crashes.faulty_jobs();
         for id in f.jobs.keys() {
             let wanted = match faulty.contains(id) {
@@ -115,11 +115,11 @@
 fn a_step_that_is_at_fault_as_a_whole_takes_few_workers_more() {
     for seed in 1..=3 {
         let mut f = fleet(seed);
-        let job = f.hand_in(Kind::Batch, "bulk", vec![step(20)]);
+        let job = f.submit_job(Kind::Batch, "bulk", vec![step(20)]);
         (0..20).for_each(|i| f.make_faulty(task(job.0, 0, i), Fault::After(Millis(10))));
-        f.pass(Millis(3_000));
+        f.advance(Millis(3_000));
         let at_first = f.crashes.by_job(job);
-        f.pass(UNDERSTOOD);
+        f.advance(UNDERSTOOD);
         assert_eq!(state(&f, job), Some(JobState::Failed), "seed {seed}");
         let crashes = f.crashes.by_job(job);
         assert_eq!(crashes, at_first + MAX_CRASHES - 1, "seed {seed}: {at_first} at first");
@@ -134,16 +134,16 @@
 fn crashes_are_counted_across_changes_of_leader(#[case] every: Millis) {
     for seed in 1..=3 {
         let mut f = fleet(seed);
-        let job = f.hand_in(Kind::Batch, "bulk", vec![wide()]);
+        let job = f.submit_job(Kind::Batch, "bulk", vec![wide()]);
         let faulty = task(job.0, 0, 0);
         f.make_faulty(faulty, Fault::After(Millis(10)));
         for _ in 0..UNDERSTOOD.0 * 2 / every.0 {
-            f.pass(every);
+            f.advance(every);
             f.lose_leader();
-            f.pass(Millis(300));
+            f.advance(Millis(300));
             f.take_over();
         }
-        f.pass(UNDERSTOOD);
+        f.advance(UNDERSTOOD);
         assert_eq!(f.crashes.under(&faulty), MAX_CRASHES, "seed {seed}");
         assert_eq!(state(&f, job), Some(JobState::Failed), "seed {seed}");
     }
@@ -159,10 +159,10 @@
         let mut f = fleet(seed);
         f.crashes.down_for = down_for;
         f.crashes.come_back = come_back;
-        let job = f.hand_in(Kind::Batch, "bulk", vec![wide()]);
+        let job = f.submit_job(Kind::Batch, "bulk", vec![wide()]);
         let faulty = task(job.0, 0, 0);
         f.make_faulty(faulty, Fault::After(Millis(10)));
-        f.pass(Millis(120_000));
+        f.advance(Millis(120_000));
         let crashes = f.crashes.under(&faulty);
         assert!(crashes <= MAX_CRASHES + 2, "seed {seed}: {crashes}");
         assert_eq!(state(&f, job), Some(JobState::Failed), "seed {seed}");
@@ -175,16 +175,16 @@
 fn workers_that_crash_for_another_reason_cost_no_job() {
     for seed in 1..=3 {
         let mut f = fleet(seed);
-        let mut mix = Mix::everyday(0.6);
-        mix.play(&mut f, Millis(4_000));
+        let mut mix = JobMix::everyday(0.6);
+        mix.drive(&mut f, Millis(4_000));
         for round in 0..3 {
             let lost: Vec<WorkerId> =
                 f.workers(Host::is_usable).into_iter().skip(round).step_by(7).collect();
             lost.iter().for_each(|id| f.crash(id));
-            mix.play(&mut f, Millis(8_000));
+            mix.drive(&mut f, Millis(8_000));
         }
-        f.settle(Millis(60_000));
-        let longest = f.watch.longest;
+        f.finish_all_jobs(Millis(60_000));
+        let longest = f.wait_checker.longest;
         println!("seed {seed}: longest wait beside room {} ms", longest.0);
     }
 }
@@ -195,20 +195,20 @@
 fn workers_that_are_cut_off_are_no_crashes() {
     for seed in 1..=3 {
         let mut f = fleet(seed);
-        let job = f.hand_in(Kind::Lasting, "mid", vec![lasting()]);
-        f.pass(Millis(2_000));
+        let job = f.submit_job(Kind::LongRunning, "mid", vec![lasting()]);
+        f.advance(Millis(2_000));
         for _ in 0..6 {
-            let busy = f.workers(|h| h.lasting().next().is_some());
+            let busy = f.workers(|h| h.long_running_tasks().next().is_some());
             busy.iter().for_each(|id| f.set_silent(id, true));
-            f.pass(Millis(8_000));
+            f.advance(Millis(8_000));
             busy.iter().for_each(|id| f.set_silent(id, false));
-            f.pass(Millis(3_000));
+            f.advance(Millis(3_000));
         }
-        f.pass(Millis(5_000));
+        f.advance(Millis(5_000));
         assert_eq!(state(&f, job), Some(JobState::Running), "seed {seed}");
-        let running = f.hosts.values().map(|h| h.lasting().count()).sum::<usize>();
+        let running = f.hosts.values().map(|h| h.long_running_tasks().count()).sum::<usize>();
         assert_eq!(running, 3, "seed {seed}");
-        assert!(f.bench.committed.crashes().is_empty(), "seed {seed}");
+        assert!(f.harness.committed.crashes().is_empty(), "seed {seed}");
     }
 }
 
@@ -218,18 +218,18 @@
 fn workers_that_are_cut_off_for_long_cost_no_job() {
     for seed in 1..=3 {
         let mut f = fleet(seed);
-        let job = f.hand_in(Kind::Lasting, "mid", vec![StepSpec { count: 12, ..lasting() }]);
-        f.pass(Millis(2_000));
+        let job = f.submit_job(Kind::LongRunning, "mid", vec![StepSpec { count: 12, ..lasting() }]);
+        f.advance(Millis(2_000));
         for _ in 0..5 {
-            let busy = f.workers(|h| h.lasting().next().is_some());
+            let busy = f.workers(|h| h.long_running_tasks().next().is_some());
             assert!(busy.len() >= 2, "seed {seed}");
             busy.iter().for_each(|id| f.set_silent(id, true));
-            f.pass(Millis(26_500));
+            f.advance(Millis(26_500));
             for id in &busy {
                 f.set_silent(id, false);
                 f.announce(id);
             }
-            f.pass(Millis(500));
+            f.advance(Millis(500));
         }
         assert_eq!(state(&f, job), Some(JobState::Running), "seed {seed}");
     }
@@ -239,14 +239,14 @@
 #[test]
 fn crashes_far_apart_do_not_add_up() {
     let mut f = fleet(1);
-    let job = f.hand_in(Kind::Lasting, "mid", vec![lasting()]);
+    let job = f.submit_job(Kind::LongRunning, "mid", vec![lasting()]);
     for _ in 0..6 {
-        f.pass(Millis(40_000));
-        let busy = f.workers(|h| h.lasting().next().is_some());
+        f.advance(Millis(40_000));
+        let busy = f.workers(|h| h.long_running_tasks().next().is_some());
         assert!(!busy.is_empty());
         busy.iter().for_each(|id| f.crash(id));
     }
-    f.pass(Millis(10_000));
+    f.advance(Millis(10_000));
     assert_eq!(state(&f, job), Some(JobState::Running));
 }
 
@@ -254,17 +254,17 @@
 #[test]
 fn workers_that_leave_are_no_crashes() {
     let mut f = fleet(1);
-    let job = f.hand_in(Kind::Lasting, "mid", vec![lasting()]);
-    f.pass(Millis(2_000));
+    let job = f.submit_job(Kind::LongRunning, "mid", vec![lasting()]);
+    f.advance(Millis(2_000));
     for _ in 0..4 {
-        let busy = f.workers(|h| h.lasting().next().is_some() && h.is_usable());
-        busy.iter().for_each(|id| f.give_notice(id));
-        f.pass(Millis(10));
+        let busy = f.workers(|h| h.long_running_tasks().next().is_some() && h.is_usable());
+        busy.iter().for_each(|id| f.announce_leaving(id));
+        f.advance(Millis(10));
         busy.iter().for_each(|id| f.crash(id));
-        f.pass(Millis(9_000));
+        f.advance(Millis(9_000));
     }
     assert_eq!(state(&f, job), Some(JobState::Running));
-    assert!(f.bench.committed.crashes().is_empty());
+    assert!(f.harness.committed.crashes().is_empty());
 }
 
 /// Ten workers, tasks that last and long batch jobs, and a new job at fault every four seconds that ends whatever
@@ -275,18 +275,18 @@
 fn neighbours_of_many_tasks_at_fault_are_not_given_up(#[case] after: Millis) {
     for seed in 1..=6 {
         let mut f = fleet_of(seed, "w", 10, Size::new(16_000, 32_000, 0));
-        let watchers = f.hand_in(Kind::Lasting, "mid", vec![lasting()]);
+        let watchers = f.submit_job(Kind::LongRunning, "mid", vec![lasting()]);
         for _ in 0..2 {
-            f.hand_in(Kind::Batch, "bulk", vec![wide()]);
+            f.submit_job(Kind::Batch, "bulk", vec![wide()]);
         }
-        f.pass(Millis(2_000));
+        f.advance(Millis(2_000));
         for _ in 0..15 {
             let one = StepSpec { estimate: Millis(3_000), ..step(1) };
-            let job = f.hand_in(Kind::Quick, "q", vec![one]);
+            let job = f.submit_job(Kind::Quick, "q", vec![one]);
             f.make_faulty(task(job.0, 0, 0), Fault::After(after));
-            f.pass(Millis(4_000));
+            f.advance(Millis(4_000));
         }
-        f.pass(Millis(60_000));
+        f.advance(Millis(60_000));
         let faulty = f.crashes.faulty_jobs();
         for id in f.jobs.keys() {
             let wanted = match (faulty.contains(id), *id == watchers) {
@@ -308,14 +308,14 @@
 #[case::after_a_second(Millis(1_000))]
 fn suspects_with_few_workers_to_go_to_are_told_apart(#[case] after: Millis) {
     for seed in 1..=10 {
-        let mut f = fleet_that_runs_all(seed, "x", 3, Size::new(64_000, 128_000, 0));
+        let mut f = fleet_allowing_all(seed, "x", 3, Size::new(64_000, 128_000, 0));
         let estimate = Millis(6_000);
         for _ in 0..5 {
-            f.hand_in(Kind::Batch, "bulk", vec![StepSpec { estimate, ..step(2) }]);
+            f.submit_job(Kind::Batch, "bulk", vec![StepSpec { estimate, ..step(2) }]);
         }
-        let job = f.hand_in(Kind::Batch, "bulk", vec![StepSpec { estimate, ..step(2) }]);
+        let job = f.submit_job(Kind::Batch, "bulk", vec![StepSpec { estimate, ..step(2) }]);
         f.make_faulty(task(job.0, 0, 1), Fault::After(after));
-        f.pass(Millis(90_000));
+        f.advance(Millis(90_000));
         for id in f.jobs.keys() {
             let wanted = if *id == job { JobState::Failed } else { JobState::Completed };
             assert_eq!(state(&f, *id), Some(wanted), "seed {seed}: {id}");
@@ -329,13 +329,13 @@
 #[test]
 fn a_last_try_comes_although_every_worker_has_young_runs() {
     for seed in 1..=3 {
-        let mut f = fleet_that_runs_all(seed, "w", 6, Size::new(16_000, 32_000, 0));
-        let job = f.hand_in(Kind::Batch, "bulk", vec![step(1)]);
+        let mut f = fleet_allowing_all(seed, "w", 6, Size::new(16_000, 32_000, 0));
+        let job = f.submit_job(Kind::Batch, "bulk", vec![step(1)]);
         f.make_faulty(task(job.0, 0, 0), Fault::After(Millis(10)));
-        let until = f.bench.now + Millis(20_000);
-        while f.bench.now < until {
-            f.hand_in(Kind::Quick, "q", vec![step(6)]);
-            f.pass(Millis(150));
+        let until = f.harness.now + Millis(20_000);
+        while f.harness.now < until {
+            f.submit_job(Kind::Quick, "q", vec![step(6)]);
+            f.advance(Millis(150));
         }
         assert_eq!(state(&f, job), Some(JobState::Failed), "seed {seed}");
     }
@@ -346,18 +346,18 @@
 #[test]
 fn what_is_on_its_last_try_meets_no_new_job_at_fault() {
     for seed in 1..=10 {
-        let mut f = fleet_that_runs_all(seed, "x", 5, Size::new(32_000, 64_000, 0));
+        let mut f = fleet_allowing_all(seed, "x", 5, Size::new(32_000, 64_000, 0));
         let estimate = Millis(2_500);
         let well: Vec<JobId> = (0..6)
-            .map(|_| f.hand_in(Kind::Batch, "bulk", vec![StepSpec { estimate, ..step(2) }]))
+            .map(|_| f.submit_job(Kind::Batch, "bulk", vec![StepSpec { estimate, ..step(2) }]))
             .collect();
-        f.pass(Millis(600));
+        f.advance(Millis(600));
         for _ in 0..6 {
-            let job = f.hand_in(Kind::Quick, "q", vec![step(1)]);
+            let job = f.submit_job(Kind::Quick, "q", vec![step(1)]);
             f.make_faulty(task(job.0, 0, 0), Fault::After(Millis(10)));
-            f.pass(Millis(2_000));
+            f.advance(Millis(2_000));
         }
-        f.pass(Millis(60_000));
+        f.advance(Millis(60_000));
         for id in &well {
             assert_eq!(state(&f, *id), Some(JobState::Completed), "seed {seed}: {id}");
         }
@@ -371,22 +371,22 @@
     #[values(1, 2, 3)] seed: u64,
 ) {
     let mut f = fleet(seed);
-    let mut mix = Mix::everyday(0.3);
-    mix.play(&mut f, Millis(2_000));
+    let mut mix = JobMix::everyday(0.3);
+    mix.drive(&mut f, Millis(2_000));
     for turn in 0..25 {
-        let job = f.hand_in(Kind::Quick, "q", vec![step(6)]);
+        let job = f.submit_job(Kind::Quick, "q", vec![step(6)]);
         f.make_faulty(task(job.0, 0, 0), Fault::AtStart);
-        mix.play(&mut f, Millis(400));
+        mix.drive(&mut f, Millis(400));
         if turn == 17 {
-            f.hand_in(Kind::Quick, "q", vec![step(6)]);
-            f.pass(Millis(30));
+            f.submit_job(Kind::Quick, "q", vec![step(6)]);
+            f.advance(Millis(30));
             f.lose_leader();
-            f.pass(Millis(600));
+            f.advance(Millis(600));
             f.take_over();
         }
     }
-    mix.play(&mut f, UNDERSTOOD);
-    f.pass(Millis(15_000));
+    mix.drive(&mut f, UNDERSTOOD);
+    f.advance(Millis(15_000));
     for job in f.crashes.faulty_jobs() {
         assert!(f.crashes.by_job(job) <= MOST_IN_COMPANY, "seed {seed}: {job}");
         assert_eq!(state(&f, job), Some(JobState::Failed), "seed {seed}: {job}");
@@ -400,15 +400,15 @@
     let mut f = fleet(seed);
     f.crashes.down_for = Millis(400);
     let spec = StepSpec { gang: true, estimate: Millis(9_000), ..step(16) };
-    let job = f.hand_in(Kind::Gang, "bulk", vec![spec]);
+    let job = f.submit_job(Kind::Gang, "bulk", vec![spec]);
     for _ in 0..5 {
-        f.pass(Millis(6_000));
+        f.advance(Millis(6_000));
         let working = f.workers(|h| !h.fake.running.is_empty());
         let idle = f.workers(|h| h.fake.running.is_empty() && h.is_usable());
         let third = f.workers(Host::is_usable).len() / 3;
         let hit: Vec<WorkerId> = working.into_iter().take(2).chain(idle).take(third).collect();
         hit.iter().for_each(|id| f.crash(id));
     }
-    f.pass(Millis(30_000));
+    f.advance(Millis(30_000));
     assert_eq!(state(&f, job), Some(JobState::Completed), "seed {seed}");
 }
--- a/components/dispatch/tests/forgotten.rs
+++ b/components/dispatch/tests/forgotten.rs
@@ -11,7 +11,7 @@
 /// Longer than a worker that runs nothing is remembered.
 const LONG_CUT: Millis = Millis(26_500);
 
-/// What is free on workers that are reached counts as room in [`common::watch`], whether or not the leader knows them.
+/// What is free on workers that are reached counts as room in [`common::wait_checker`], whether or not the leader knows them.
 /// So those that it has forgotten must be heard of again, as on the platform, where every worker goes on announcing
 /// itself.
 #[test]
@@ -19,16 +19,16 @@
     let mut f = Fleet::new(1, 3);
     f.allow_all();
     f.join("w", 4, Size::new(8_000, 16_000, 0));
-    f.pass(Millis(500));
+    f.advance(Millis(500));
     let all = f.workers(|_| true);
     all.iter().for_each(|id| f.set_silent(id, true));
-    f.pass(LONG_CUT);
-    let is_known = |f: &Fleet, id| f.bench.dispatcher.replicated().worker(id).is_some();
+    f.advance(LONG_CUT);
+    let is_known = |f: &Fleet, id| f.harness.dispatcher.replicated().worker(id).is_some();
     assert!(all.iter().all(|id| !is_known(&f, id)), "all of them are forgotten");
     all.iter().for_each(|id| f.set_silent(id, false));
     mix::gang(&mut f);
-    f.hand_in(Kind::Quick, "q", vec![StepSpec { estimate: Millis(300), ..step(4) }]);
-    f.pass(Millis(2_900));
+    f.submit_job(Kind::Quick, "q", vec![StepSpec { estimate: Millis(300), ..step(4) }]);
+    f.advance(Millis(2_900));
     assert!(all.iter().all(|id| is_known(&f, id)), "all of them are known again");
     assert_eq!((f.waits(Kind::Gang).len(), f.waits(Kind::Quick).len()), (1, 1));
 }
--- a/components/dispatch/tests/lasting.rs
+++ b/components/dispatch/tests/lasting.rs
@@ -26,7 +26,7 @@
 
 use clock::Millis;
 use common::fleet::{Fleet, Kind, STEP};
-use common::mix::{self, Mix};
+use common::mix::{self, JobMix};
 use common::{step, task};
 use model::Size;
 use rstest::rstest;
@@ -61,7 +61,7 @@
 /// A fleet with a mixed workload, and the long-running tasks that must run all the time.
 struct Play {
     f: Fleet,
-    mix: Mix,
+    mix: JobMix,
     tasks: Vec<TaskKey>,
     /// When each of the tasks last ran.
     ran_at: BTreeMap<TaskKey, Millis>,
@@ -79,14 +79,14 @@
         let mut f = Fleet::new(seed, CALLERS);
         f.allow(ALLOWED);
         // Each case checks a bound of its own.
-        f.watch.only_notes = true;
-        f.away.only_notes = true;
+        f.wait_checker.record_only = true;
+        f.downtime_checker.record_only = true;
         f.join("w", WORKERS, whole());
-        f.pass(Millis(500));
+        f.advance(Millis(500));
         Play {
             f,
             // A third of the calls for advice that could be made is enough for this workload.
-            mix: Mix::new(0.3, 0.1, 0.05),
+            mix: JobMix::new(0.3, 0.1, 0.05),
             tasks: Vec::new(),
             ran_at: BTreeMap::new(),
             away_at: Millis::ZERO,
@@ -99,22 +99,22 @@
     /// Returns the same with 24 long-running tasks that run.
     fn with_pairs(seed: u64) -> Play {
         let mut p = Play::new(seed);
-        p.hand_in("mid", &lasting(2), 12);
+        p.submit_job("mid", &lasting(2), 12);
         p.warm_up();
         p
     }
 
     /// Submits some jobs of long-running tasks.
-    fn hand_in(&mut self, queue: &str, spec: &StepSpec, jobs: usize) {
+    fn submit_job(&mut self, queue: &str, spec: &StepSpec, jobs: usize) {
         for _ in 0..jobs {
-            let job = self.f.hand_in(Kind::Lasting, queue, vec![spec.clone()]);
+            let job = self.f.submit_job(Kind::LongRunning, queue, vec![spec.clone()]);
             self.tasks.extend((0..spec.count).map(|i| task(job.0, 0, i)));
         }
     }
 
     /// Submits a job of long-running tasks for which advice allows a number of workers within `allowed`. Submits
     /// quick jobs until the next job is such a job.
-    fn hand_in_where(&mut self, spec: &StepSpec, allowed: RangeInclusive<usize>) {
+    fn submit_job_where(&mut self, spec: &StepSpec, allowed: RangeInclusive<usize>) {
         loop {
             let next = task(self.f.jobs.len() as u64 + 1, 0, 0);
             if allowed.contains(&self.f.allowed(&next.step).len()) {
@@ -122,18 +122,18 @@
             }
             mix::quick(&mut self.f);
         }
-        self.hand_in("mid", spec, 1);
+        self.submit_job("mid", spec, 1);
     }
 
     fn warm_up(&mut self) {
-        self.play(WARM_UP);
+        self.drive(WARM_UP);
         assert_eq!(self.away(), 0, "all long-running tasks run before anything fails");
         self.begin();
     }
 
     /// Discards what was recorded so far.
     fn begin(&mut self) {
-        let now = self.f.bench.now;
+        let now = self.f.harness.now;
         self.ran_at = self.tasks.iter().map(|t| (*t, now)).collect();
         self.longest = Millis::ZERO;
         self.away_at = now;
@@ -141,10 +141,10 @@
         self.busy.clear();
     }
 
-    fn play(&mut self, span: Millis) {
-        let until = self.f.bench.now + span;
-        while self.f.bench.now < until {
-            self.mix.play(&mut self.f, STEP);
+    fn drive(&mut self, span: Millis) {
+        let until = self.f.harness.now + span;
+        while self.f.harness.now < until {
+            self.mix.drive(&mut self.f, STEP);
             self.note();
         }
     }
@@ -158,7 +158,7 @@
     }
 
     fn note(&mut self) {
-        let now = self.f.bench.now;
+        let now = self.f.harness.now;
         for task in self.tasks.clone() {
             if self.runs(&task) {
                 self.ran_at.insert(task, now);
@@ -168,7 +168,7 @@
             let since = *self.ran_at.entry(task).or_insert(now);
             self.longest = self.longest.max(now.since(since));
         }
-        let figures = self.f.bench.dispatcher.figures();
+        let figures = self.f.harness.dispatcher.figures();
         self.used.push(figures.used.cpu_milli * 100 / figures.capacity.cpu_milli);
         self.busy.push(figures.advice_callers_busy);
     }
@@ -192,32 +192,32 @@
         for part in 0..5 {
             let some = (part..self.tasks.len()).step_by(10);
             some.for_each(|at| self.fail(at));
-            self.play(Millis(FAILING.0 / 5));
+            self.drive(Millis(FAILING.0 / 5));
         }
         on.iter().for_each(|id| self.f.set_failing(id, false));
-        let (well_at, untried) = (self.f.bench.now, self.longest);
-        self.play(AFTERWARDS);
+        let (well_at, untried) = (self.f.harness.now, self.longest);
+        self.drive(AFTERWARDS);
         (untried, self.away_at.since(well_at))
     }
 
     /// Returns how many jobs of a kind have failed although they could succeed.
     fn failed(&self, kind: Kind) -> usize {
         let f = &self.f;
-        let failed = |id| f.bench.committed.job(id).is_some_and(|j| j.state == JobState::Failed);
+        let failed = |id| f.harness.committed.job(id).is_some_and(|j| j.state == JobState::Failed);
         let jobs = f.jobs.iter().filter(|(id, j)| j.kind == kind && !f.failures.jobs.contains(id));
         jobs.filter(|(id, _)| failed(**id)).count()
     }
 
     /// Returns the longest wait from submission to first start of the quick jobs that can succeed.
     fn longest_quick_wait(&self, from: Millis) -> Millis {
-        let (f, now) = (&self.f, self.f.bench.now);
+        let (f, now) = (&self.f, self.f.harness.now);
         let quick = f.jobs.iter().filter(|(_, j)| j.kind == Kind::Quick && j.at >= from);
         let well = quick.filter(|(id, _)| !f.failures.jobs.contains(id));
         well.map(|(_, j)| j.first_start.unwrap_or(now).since(j.at)).max().unwrap_or_default()
     }
 
     fn figures(&self) -> String {
-        let f = self.f.bench.dispatcher.figures();
+        let f = self.f.harness.dispatcher.figures();
         format!(
             "cpu_milli={}/{} open_steps={} busy={}/{} without_caller={}, longest wait of any step {:?}",
             f.used.cpu_milli,
@@ -226,7 +226,7 @@
             f.advice_callers_busy,
             f.advice_callers,
             f.steps_without_caller,
-            self.f.watch.longest,
+            self.f.wait_checker.longest,
         )
     }
 }
@@ -280,13 +280,13 @@
         #[values(1, 2, 3)] seed: u64,
     ) {
         let mut p = Play::with_pairs(seed);
-        p.mix.undoable = percent;
-        let from = p.f.bench.now;
+        p.mix.failing_percent = percent;
+        let from = p.f.harness.now;
         let mut fewest = WORKERS;
         for at in 0..15 {
             p.fail(at * 7);
-            p.play(Millis(1_000));
-            let now = p.f.bench.now;
+            p.drive(Millis(1_000));
+            let now = p.f.harness.now;
             if now.since(from) >= Millis(3_000) {
                 let given_work = p.f.failures.workers_with_starts(now.since(Millis(3_000)), now);
                 fewest = fewest.min(given_work);
@@ -310,21 +310,21 @@
     fn runs_that_fail_together_count_once(#[values(1, 2, 3)] seed: u64) {
         let mut p = Play::new(seed);
         p.f.allow_all();
-        p.mix = Mix::new(0.2, 0.0, 0.0);
+        p.mix = JobMix::new(0.2, 0.0, 0.0);
         // Work for the whole capacity, which needs no long calls for advice.
         let spec = StepSpec { estimate: Millis(4_000), ..step(40) };
         for _ in 0..200 {
-            p.f.hand_in(Kind::Wide, "q", vec![spec.clone()]);
+            p.f.submit_job(Kind::Wide, "q", vec![spec.clone()]);
         }
-        p.play(WARM_UP);
+        p.drive(WARM_UP);
         let one = p.all_workers().remove(0);
         let there: Vec<TaskKey> = p.f.hosts[&one].fake.running.keys().copied().collect();
         assert!(there.len() >= 10, "{} tasks run on the worker", there.len());
-        let from = p.f.bench.now;
+        let from = p.f.harness.now;
         there.iter().take(10).for_each(|t| {
             p.f.fail_now(t);
         });
-        p.play(AFTERWARDS);
+        p.drive(AFTERWARDS);
         let starts = p.f.failures.starts.iter().filter(|s| s.worker == one && s.at > from);
         let first = starts.map(|s| s.at.since(from)).min();
         println!("runs fail together, seed {seed}: tried after {first:?}; {}", p.figures());
@@ -337,8 +337,8 @@
         let mut p = Play::new(seed);
         p.f.join("few", 4, whole());
         p.f.allow_all();
-        p.f.pass(Millis(500));
-        p.hand_in("mid", &StepSpec { constraint: Some("few".into()), ..lasting(4) }, 2);
+        p.f.advance(Millis(500));
+        p.submit_job("mid", &StepSpec { constraint: Some("few".into()), ..lasting(4) }, 2);
         p.warm_up();
         let few = p.f.workers(|h| h.info.labels.contains(&"few".into()));
         let came = p.trouble(&few);
@@ -350,7 +350,7 @@
     fn the_workers_that_are_allowed_fail(#[values(1, 2, 3)] seed: u64) {
         let mut p = Play::new(seed);
         p.f.allow(10);
-        p.hand_in_where(&lasting(4), 3..=6);
+        p.submit_job_where(&lasting(4), 3..=6);
         p.warm_up();
         let few = p.f.allowed(&p.tasks[0].step);
         let came = p.trouble(&few);
@@ -364,7 +364,7 @@
         let mut p = Play::new(seed);
         p.f.allow(14);
         for _ in 0..6 {
-            p.hand_in_where(&StepSpec { max_per_worker: 1, ..lasting(3) }, 4..=8);
+            p.submit_job_where(&StepSpec { max_per_worker: 1, ..lasting(3) }, 4..=8);
         }
         p.warm_up();
         let all = p.all_workers();
@@ -379,17 +379,17 @@
     #[rstest]
     fn a_backlog_seeks_whatever_comes_free(#[values(1, 2, 3)] seed: u64) {
         let mut p = Play::new(seed);
-        p.mix = Mix::new(0.2, 0.1, 0.0);
-        p.hand_in("bulk", &StepSpec { size: Size::new(2_000, 2_000, 0), ..lasting(1) }, 16);
+        p.mix = JobMix::new(0.2, 0.1, 0.0);
+        p.submit_job("bulk", &StepSpec { size: Size::new(2_000, 2_000, 0), ..lasting(1) }, 16);
         p.warm_up();
         p.mix.wide = 0.65;
-        p.play(Millis(6_000));
+        p.drive(Millis(6_000));
         p.begin();
         for at in 0..12 {
             p.fail(at);
-            p.play(Millis(1_500));
+            p.drive(Millis(1_500));
         }
-        p.play(AGAIN_AMONG_OTHERS);
+        p.drive(AGAIN_AMONG_OTHERS);
         let (used, busy) = (part(p.used.clone(), 50), part(p.busy.clone(), 50));
         println!(
             "a backlog, seed {seed}: without a run for {:?}, {} at the end, {used}% in use, {busy} busy; {}",
@@ -426,10 +426,10 @@
         bad.iter().for_each(|id| p.f.set_failing(id, true));
         for at in 0..12 {
             p.fail(at * 7);
-            p.play(Millis(1_000));
+            p.drive(Millis(1_000));
         }
         bad.iter().for_each(|id| p.f.set_failing(id, false));
-        p.play(Millis(6_000));
+        p.drive(Millis(6_000));
         waste.quick_runs += p.f.failures.wasted(Kind::Quick);
         waste.batch_runs += p.f.failures.wasted(Kind::Batch) + p.f.failures.wasted(Kind::Gang);
         let kinds = [Kind::Quick, Kind::Batch, Kind::Gang];
--- a/components/dispatch/tests/lasting_schedules.rs
+++ b/components/dispatch/tests/lasting_schedules.rs
@@ -1,7 +1,7 @@
 //! Random schedules that combine whatever may keep a long-running task from its next run: workers that fail
 //! everything that they start, jobs that fail wherever they run, long-running tasks that fail by themselves, few
 //! allowed workers, steps that spread their tasks, a backlog, crashes, and leaders that are lost. Then no such event
-//! happens for half a minute, since lasting effects show only then. At each step [`common::away`] checks that
+//! happens for half a minute, since lasting effects show only then. At each step [`common::downtime_checker`] checks that
 //! long-running tasks run again in time.
 //!
 //! `HEATHVALE_LASTING_SEEDS=1-200 cargo test -p dispatch --test lasting_schedules` runs more seeds than the eight of
@@ -14,7 +14,7 @@
 use clock::Millis;
 use common::fleet::{Fleet, Kind};
 use common::host::Host;
-use common::mix::{self, Mix};
+use common::mix::{self, JobMix};
 use common::{step, task};
 use model::Size;
 use rand::seq::IndexedRandom;
@@ -37,9 +37,9 @@
 
 /// Submits a job of long-running tasks, of which some fail by themselves again and again.
 fn hand_in_lasting(f: &mut Fleet) {
-    let count = 1 + f.below(3) as u32;
-    let max_per_worker = f.below(2) as u32;
-    let constraint = (f.below(4) == 0).then(|| "few".into());
+    let count = 1 + f.random_below(3) as u32;
+    let max_per_worker = f.random_below(2) as u32;
+    let constraint = (f.random_below(4) == 0).then(|| "few".into());
     let cores = one_of(f, &[1_000, 2_000, 3_000]);
     let spec = StepSpec {
         long_running: true,
@@ -50,16 +50,16 @@
         ..step(count)
     };
     let queue = one_of(f, &["q", "mid", "bulk"]);
-    let job = f.hand_in(Kind::Lasting, queue, vec![spec]);
-    if f.below(2) == 0 {
-        let after = Millis(3_000 + f.below(12_000));
-        f.make_restless(task(job.0, 0, 0), after);
+    let job = f.submit_job(Kind::LongRunning, queue, vec![spec]);
+    if f.random_below(2) == 0 {
+        let after = Millis(3_000 + f.random_below(12_000));
+        f.fail_runs_after(task(job.0, 0, 0), after);
     }
 }
 
 /// Returns every `one_in`-th usable worker, from a random one on.
 fn some(f: &mut Fleet, one_in: usize) -> Vec<WorkerId> {
-    let first = f.below(one_in as u64) as usize;
+    let first = f.random_below(one_in as u64) as usize;
     f.workers(Host::is_usable).into_iter().skip(first).step_by(one_in).collect()
 }
 
@@ -73,32 +73,32 @@
 
 /// Makes some of the long-running tasks fail now.
 fn fail_some(f: &mut Fleet) {
-    let running: Vec<TaskKey> = f.hosts.values().flat_map(Host::lasting).collect();
+    let running: Vec<TaskKey> = f.hosts.values().flat_map(Host::long_running_tasks).collect();
     for task in running.iter().step_by(4) {
         f.fail_now(task);
     }
 }
 
-fn disturb(f: &mut Fleet, mix: &mut Mix) {
-    match f.below(12) {
+fn disturb(f: &mut Fleet, mix: &mut JobMix) {
+    match f.random_below(12) {
         0 | 1 => {
             let one_in = one_of(f, &[1, 2, 3, 5, 10]);
             set_failing(f, one_in);
         }
         2 => {
             set_failing(f, 1);
-            let span = Millis(500 + f.below(5_000));
-            mix.play(f, span);
+            let span = Millis(500 + f.random_below(5_000));
+            mix.drive(f, span);
             make_well(f);
         }
         3 | 4 => make_well(f),
-        5 => mix.undoable = one_of(f, &[0, 10, 33, 50]),
+        5 => mix.failing_percent = one_of(f, &[0, 10, 33, 50]),
         6 => hand_in_lasting(f),
         7 | 8 => fail_some(f),
         9 => (0..10).for_each(|_| mix::wide(f)),
         10 => {
             f.lose_leader();
-            mix.play(f, Millis(700));
+            mix.drive(f, Millis(700));
             f.take_over();
         }
         _ => {
@@ -106,8 +106,8 @@
             lost.iter().for_each(|id| f.crash(id));
         }
     }
-    let pause = Millis(200 + f.below(1_500));
-    mix.play(f, pause);
+    let pause = Millis(200 + f.random_below(1_500));
+    mix.drive(f, pause);
 }
 
 /// Returns a fleet of which the advice service allows few workers, with long-running tasks.
@@ -116,35 +116,35 @@
     let share = one_of(&mut f, &[12, 20, 35, 70]);
     f.allow(share);
     // Other work may wait for as long as the workers that failed it are quarantined.
-    f.watch.only_notes = true;
+    f.wait_checker.record_only = true;
     let size = Size::new(16_000, 32_000, 0);
     f.join("w", 36, size);
     f.join("few", 6, size);
-    f.pass(Millis(500));
+    f.advance(Millis(500));
     (0..12).for_each(|_| hand_in_lasting(&mut f));
     f
 }
 
-fn play(seed: u64) {
+fn drive(seed: u64) {
     let mut f = fleet(seed);
-    let mut mix = Mix::new(0.25, 0.1, 0.03);
-    mix.play(&mut f, Millis(3_000));
+    let mut mix = JobMix::new(0.25, 0.1, 0.03);
+    mix.drive(&mut f, Millis(3_000));
     mix.wide = one_of(&mut f, &[0.0, 0.2, 0.4, 0.6]);
     for _ in 0..EVENTS {
         disturb(&mut f, &mut mix);
     }
     make_well(&mut f);
     // Jobs that can never succeed are no fault of the fleet's, and go on for a while.
-    mix.play(&mut f, Millis(CALM.0 / 2));
-    mix.undoable = 0;
-    mix.play(&mut f, Millis(CALM.0 / 2));
-    let (away, stood) = (f.away.longest, f.watch.longest);
+    mix.drive(&mut f, Millis(CALM.0 / 2));
+    mix.failing_percent = 0;
+    mix.drive(&mut f, Millis(CALM.0 / 2));
+    let (away, stood) = (f.downtime_checker.longest, f.wait_checker.longest);
     println!(
         "seed {seed}: a long-running task was without a run for {away:?}, longest wait of any step {stood:?}"
     );
     // By now no job that can never succeed is left, and no worker may be quarantined for long.
-    f.watch.only_notes = false;
-    f.pass(SETTLED);
+    f.wait_checker.record_only = false;
+    f.advance(SETTLED);
     check(&f, seed);
 }
 
@@ -152,11 +152,11 @@
 fn check(f: &Fleet, seed: u64) {
     let wasted = wasted(f);
     for (id, job) in f.jobs.iter().filter(|(id, _)| can_run(f, **id)) {
-        let state = f.bench.committed.job(*id).map(|j| j.state);
+        let state = f.harness.committed.job(*id).map(|j| j.state);
         let kind = job.kind;
         let most = wasted.get(id).copied().unwrap_or(0);
         match kind {
-            Kind::Lasting => {
+            Kind::LongRunning => {
                 let is_over = state.is_none_or(JobState::is_final);
                 assert!(!is_over, "seed {seed}: {id}, which is long-running, is {state:?}");
             }
@@ -205,7 +205,7 @@
 
 #[rstest]
 fn tasks_that_last_are_at_work_again(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
-    play(seed);
+    drive(seed);
 }
 
 /// Runs the seeds that the environment names.
@@ -214,6 +214,6 @@
     let asked = std::env::var("HEATHVALE_LASTING_SEEDS").unwrap_or_default();
     let range = asked.split_once('-').and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
     if let Some((from, to)) = range {
-        (from..=to).for_each(play);
+        (from..=to).for_each(drive);
     }
 }
--- a/components/dispatch/tests/late_orders.rs
+++ b/components/dispatch/tests/late_orders.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use clock::Millis;
-use common::{Bench, SILENT, end, job, news, row, spec, step, worker};
+use common::{Harness, NO_ANSWER, announcement, end, job, row, spec, step, worker};
 use dispatch::{CallError, Input, Refusal, Report, Verb};
 use errors::Result;
 use workload::{EndKind, JobState, StepSpec, TaskKey};
@@ -15,20 +15,20 @@
     TaskKey { step: workload::StepKey { job: workload::JobId(1), round: 0, step: 0 }, index: 0 };
 
 /// Gives how often a start of the first job's first task has left.
-fn starts_of_first(b: &Bench) -> usize {
+fn starts_of_first(b: &Harness) -> usize {
     b.starts().iter().filter(|(_, s)| s.task == FIRST).count()
 }
 
 /// Lets a worker with the first task of a job fall silent until its lease has run out, so that a second
 /// run is placed on `w2`. Nothing of it is committed yet. The job goes on after that task.
-fn placed_again() -> Bench {
-    let mut b = Bench::new("");
+fn placed_again() -> Harness {
+    let mut b = Harness::new("");
     b.join("w1", 4);
     b.submit(1, spec(vec![step(1), StepSpec { depends_on: vec![0], ..step(1) }]));
     b.commit();
     b.started("w1", FIRST, 1, DONE);
     b.join("w2", 4);
-    b.stay_silent("w1", "w2", Millis(5_000));
+    b.advance_with_silent("w1", "w2", Millis(5_000));
     while b.pending.is_empty() {
         b.now += Millis(20);
         b.feed(Input::Tick);
@@ -37,33 +37,33 @@
     b
 }
 
-fn cancel(b: &mut Bench) {
+fn cancel(b: &mut Harness) {
     let token = b.call_path("/q/0000000000000001", Verb::Cancel);
     b.commit();
     assert_eq!(b.answer(token), Some(&dispatch::Answer::Cancelled));
 }
 
 /// Has a worker say that it is leaving.
-fn leave(b: &mut Bench, name: &str) {
-    let mut leaving = news(name, 4);
+fn leave(b: &mut Harness, name: &str) {
+    let mut leaving = announcement(name, 4);
     (leaving.leaving, leaving.number) = (true, 2);
     b.feed(Input::Announcement(leaving));
     b.commit();
 }
 
 /// Lets time pass with a tick, while nothing is committed.
-fn tick_without_commit(b: &mut Bench, span: Millis) {
+fn tick_without_commit(b: &mut Harness, span: Millis) {
     b.now += span;
     b.feed(Input::Tick);
 }
 
 /// Has a start at a worker go without an answer.
-fn answer_nothing(b: &mut Bench, name: &str, key: TaskKey, run: u32) {
-    b.started(name, key, run, Err(SILENT()));
+fn answer_nothing(b: &mut Harness, name: &str, key: TaskKey, run: u32) {
+    b.started(name, key, run, Err(NO_ANSWER()));
 }
 
 /// Asks that one run was told to stop, as often as it takes, and no other.
-fn assert_stopped(b: &Bench, (on, key): &(String, TaskKey), run: u32) {
+fn assert_stopped(b: &Harness, (on, key): &(String, TaskKey), run: u32) {
     let stops = b.stops();
     assert!(!stops.is_empty(), "{key} runs on");
     assert!(stops.iter().all(|s| *s == (worker(on), *key, run)), "{stops:?}");
@@ -88,7 +88,7 @@
     tick_without_commit(&mut b, Millis(500));
     assert_eq!(starts_of_first(&b), 2, "not even before that end is committed");
     b.commit();
-    b.pass(Millis(500));
+    b.advance(Millis(500));
     assert_eq!(starts_of_first(&b), 2);
     assert_stopped(&b, &("w2".into(), FIRST), 2);
 }
@@ -99,29 +99,29 @@
     b.commit();
     b.report("w1", vec![], vec![end(1, FIRST, 1, EndKind::Done)]);
     b.commit();
-    let mut next = Bench::take_over(b.committed.clone(), 2, b.now);
-    next.pass(Millis(10));
+    let mut next = Harness::take_over(b.committed.clone(), 2, b.now);
+    next.advance(Millis(10));
     for name in ["w1", "w2"] {
         next.report(name, vec![], vec![]);
         next.commit();
     }
-    next.pass(Millis(500));
+    next.advance(Millis(500));
     assert_eq!(starts_of_first(&next), 0);
 }
 
 /// The first try was carried out and its answer lost; the run has ended since.
 #[test]
 fn a_run_that_ended_before_its_second_try_came_is_not_started_anew_before_its_end_is_told() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 4);
     b.submit(1, spec(vec![step(1)]));
     b.commit();
     answer_nothing(&mut b, "w1", FIRST, 1);
     b.join("w2", 4);
-    b.pass(Millis(500));
+    b.advance(Millis(500));
     b.started("w1", FIRST, 1, Err(CallError::Refused(Refusal::Outdated)));
     b.commit();
-    b.pass(Millis(10));
+    b.advance(Millis(10));
     assert!(b.starts().iter().all(|(_, s)| s.run == 1));
     b.report("w1", vec![], vec![end(1, FIRST, 1, EndKind::Done)]);
     b.commit();
@@ -130,7 +130,7 @@
 }
 
 /// Has a worker answer a renewal that was sent some time ago.
-fn report_late(b: &mut Bench, name: &str, sent_at: Millis) {
+fn report_late(b: &mut Harness, name: &str, sent_at: Millis) {
     let report = Report { clock: b.now, running: vec![], ends: vec![] };
     b.feed(Input::Renewed { worker: worker(name), sent_at, result: Ok(report) });
     b.commit();
@@ -139,7 +139,7 @@
 /// The report may have been made before the run began.
 #[test]
 fn a_report_asked_for_before_a_start_was_confirmed_says_nothing_of_that_run() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 4);
     b.submit(1, spec(vec![step(1)]));
     b.commit();
@@ -147,7 +147,7 @@
     b.now += Millis(50);
     b.started("w1", FIRST, 1, DONE);
     report_late(&mut b, "w1", before);
-    b.pass(Millis(500));
+    b.advance(Millis(500));
     assert_eq!(b.starts().len(), 1);
     assert_eq!(b.committed.job(job(1)).map(|j| j.placed()), Some(1));
 }
@@ -155,25 +155,25 @@
 /// The run may have begun after the report, and takes some time to stop.
 #[test]
 fn a_report_asked_for_before_a_stop_was_confirmed_says_nothing_of_that_run() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 4);
     b.submit(1, spec(vec![step(1)]));
     b.commit();
     answer_nothing(&mut b, "w1", FIRST, 1);
-    b.pass(Millis(500));
+    b.advance(Millis(500));
     b.started("w1", FIRST, 1, Err(CallError::Refused(Refusal::Ticket)));
     let before = b.now;
     b.now += Millis(50);
     b.stopped("w1", FIRST, 1);
     report_late(&mut b, "w1", before);
-    b.pass(Millis(500));
+    b.advance(Millis(500));
     assert!(b.starts().iter().all(|(_, s)| s.run == 1));
     assert_eq!(b.committed.job(job(1)).map(|j| j.placed()), Some(1));
 }
 
 #[test]
 fn a_stop_leaves_only_once_the_cancel_is_committed() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 4);
     b.submit(1, spec(vec![step(1)]));
     b.commit();
@@ -187,7 +187,7 @@
 
 #[test]
 fn a_start_without_an_answer_is_stopped_and_not_sent_again_once_its_job_was_cancelled() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 4);
     b.submit(1, spec(vec![step(1)]));
     b.commit();
@@ -196,14 +196,14 @@
     tick_without_commit(&mut b, Millis(500));
     assert_eq!(b.starts().len(), 1, "not even before the cancel is committed");
     b.commit();
-    b.pass(Millis(500));
+    b.advance(Millis(500));
     assert_eq!(b.starts().len(), 1);
     assert_stopped(&b, &("w1".into(), FIRST), 1);
 }
 
 #[test]
 fn a_start_that_waits_for_its_commit_does_not_leave_once_its_job_was_cancelled() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 4);
     b.submit(1, spec(vec![step(1)]));
     cancel(&mut b);
@@ -213,7 +213,7 @@
 
 #[test]
 fn a_stop_without_an_answer_is_sent_again_until_it_is_confirmed() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 4);
     b.submit(1, spec(vec![step(1)]));
     b.commit();
@@ -221,31 +221,31 @@
     cancel(&mut b);
     for tries in 1..=8 {
         assert_eq!(b.stops().len(), tries);
-        let (worker, silent) = (worker("w1"), Err(SILENT()));
+        let (worker, silent) = (worker("w1"), Err(NO_ANSWER()));
         b.feed(Input::Stopped { worker, task: FIRST, run: 1, result: silent });
-        b.pass(Millis(100));
+        b.advance(Millis(100));
     }
     b.stopped("w1", FIRST, 1);
-    b.pass(Millis(500));
+    b.advance(Millis(500));
     assert_eq!(b.stops().len(), 9);
 }
 
 /// The run is not in the log any more, and the worker begins it all the same.
 #[test]
 fn a_run_of_a_cancelled_job_that_a_worker_begins_late_is_stopped_as_often_as_it_is_listed() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 4);
     b.submit(1, spec(vec![step(1)]));
     b.commit();
     answer_nothing(&mut b, "w1", FIRST, 1);
     cancel(&mut b);
     b.stopped("w1", FIRST, 1);
-    b.pass(Millis(10));
+    b.advance(Millis(10));
     b.report("w1", vec![], vec![]);
     b.commit();
     assert_eq!(b.committed.job(job(1)).map(|j| j.placed()), Some(0));
     for tries in 2..=4 {
-        b.pass(Millis(500));
+        b.advance(Millis(500));
         b.report("w1", vec![row(FIRST, 1)], vec![]);
         b.commit();
         assert_eq!(b.stops().len(), tries);
@@ -254,33 +254,33 @@
 
 #[test]
 fn a_new_leader_stops_what_its_predecessor_started_for_a_job_cancelled_since() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 4);
     b.submit(1, spec(vec![step(1)]));
     b.commit();
     b.started("w1", FIRST, 1, DONE);
     cancel(&mut b);
     // The stop was lost with the leader.
-    let mut next = Bench::take_over(b.committed.clone(), 2, b.now);
-    next.pass(Millis(10));
+    let mut next = Harness::take_over(b.committed.clone(), 2, b.now);
+    next.advance(Millis(10));
     assert_eq!(next.stops(), vec![(worker("w1"), FIRST, 1)]);
-    let silent = Err(SILENT());
+    let silent = Err(NO_ANSWER());
     next.feed(Input::Stopped { worker: worker("w1"), task: FIRST, run: 1, result: silent });
     next.report("w1", vec![row(FIRST, 1)], vec![]);
     next.commit();
-    next.pass(Millis(100));
+    next.advance(Millis(100));
     assert_eq!(next.stops().len(), 2, "until it is confirmed");
 }
 
 /// The predecessor's start was not in the log when the job was cancelled, or its run was settled.
 #[test]
 fn a_new_leader_stops_a_run_that_the_log_does_not_know() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 4);
     b.submit(1, spec(vec![step(1)]));
     cancel(&mut b);
-    let mut next = Bench::take_over(b.committed.clone(), 2, b.now);
-    next.pass(Millis(10));
+    let mut next = Harness::take_over(b.committed.clone(), 2, b.now);
+    next.advance(Millis(10));
     next.report("w1", vec![row(FIRST, 1)], vec![]);
     next.commit();
     assert_eq!(next.stops(), vec![(worker("w1"), FIRST, 1)]);
@@ -288,14 +288,14 @@
 
 #[test]
 fn a_leaving_worker_is_given_nothing_by_a_later_plan() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 4);
     leave(&mut b, "w1");
     b.submit(1, spec(vec![step(1)]));
-    let run = |b: &Bench| b.dispatcher.replicated().task(&FIRST).map(|t| t.run);
+    let run = |b: &Harness| b.dispatcher.replicated().task(&FIRST).map(|t| t.run);
     assert_eq!(run(&b), Some(0), "nor placed there only to be taken back");
     b.commit();
-    b.pass(Millis(500));
+    b.advance(Millis(500));
     assert!(b.starts().is_empty());
     assert_eq!(run(&b), Some(0));
 }
@@ -303,13 +303,13 @@
 /// The first try may have been lost, and then the second would be the start.
 #[test]
 fn a_start_without_an_answer_is_stopped_and_not_sent_again_once_its_worker_is_leaving() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 4);
     b.submit(1, spec(vec![step(1)]));
     b.commit();
     answer_nothing(&mut b, "w1", FIRST, 1);
     leave(&mut b, "w1");
-    b.pass(Millis(500));
+    b.advance(Millis(500));
     assert_eq!(b.starts().len(), 1);
     assert_eq!(b.stops(), vec![(worker("w1"), FIRST, 1)]);
 }
@@ -317,16 +317,16 @@
 /// While a worker does not answer, orders to it wait, and it may say at another instance that it leaves.
 #[test]
 fn a_start_that_waited_for_a_silent_worker_is_not_sent_again_once_that_worker_is_leaving() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 4);
     b.submit(1, spec(vec![step(1)]));
     b.commit();
     answer_nothing(&mut b, "w1", FIRST, 1);
-    b.renewal_fails("w1", SILENT());
+    b.renewal_fails("w1", NO_ANSWER());
     leave(&mut b, "w1");
-    b.pass(Millis(3_000));
+    b.advance(Millis(3_000));
     b.report("w1", vec![], vec![]);
-    b.pass(Millis(100));
+    b.advance(Millis(100));
     assert_eq!(b.starts().len(), 1);
     assert_eq!(b.stops(), vec![(worker("w1"), FIRST, 1)]);
 }
@@ -334,7 +334,7 @@
 /// A start that is due again is stopped in its place, which has to wait for the cancel as any stop does.
 #[test]
 fn a_stop_in_place_of_a_start_without_an_answer_leaves_only_once_the_cancel_is_committed() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 4);
     b.submit(1, spec(vec![step(1)]));
     b.commit();
@@ -347,8 +347,8 @@
 }
 
 /// Gives a gang of two, one member on each of two workers, whose starts have left.
-fn gang_of_two() -> Bench {
-    let mut b = Bench::new("");
+fn gang_of_two() -> Harness {
+    let mut b = Harness::new("");
     b.join("w1", 1);
     b.join("w2", 1);
     b.submit(1, spec(vec![StepSpec { gang: true, ..step(2) }]));
@@ -358,7 +358,7 @@
 }
 
 /// Gives the worker and the key of each member.
-fn members(b: &Bench) -> [(String, TaskKey); 2] {
+fn members(b: &Harness) -> [(String, TaskKey); 2] {
     let member = |i: usize| (b.starts()[i].0.0.to_string(), b.starts()[i].1.task);
     [member(0), member(1)]
 }
@@ -397,8 +397,8 @@
 fn a_new_leader_stops_the_rest_of_a_gang_that_its_predecessor_started_in_part() {
     let b = gang_of_two();
     let [first, second] = members(&b);
-    let mut next = Bench::take_over(b.committed.clone(), 2, b.now);
-    next.pass(Millis(10));
+    let mut next = Harness::take_over(b.committed.clone(), 2, b.now);
+    next.advance(Millis(10));
     next.report(&first.0, vec![row(first.1, 1)], vec![]);
     next.report(&second.0, vec![], vec![]);
     next.commit();
@@ -412,13 +412,13 @@
     b.started(&first.0, first.1, 1, DONE);
     for _ in 0..20 {
         answer_nothing(&mut b, &second.0, second.1, 1);
-        b.pass(Millis(100));
+        b.advance(Millis(100));
         b.report(&first.0, vec![row(first.1, 1)], vec![]);
         b.report(&second.0, vec![], vec![]);
     }
     assert!(b.stops().contains(&(worker(&second.0), second.1, 1)), "its fate must get known");
     b.stopped(&second.0, second.1, 1);
-    b.pass(Millis(10));
+    b.advance(Millis(10));
     b.report(&second.0, vec![], vec![]);
     b.commit();
     assert!(b.stops().contains(&(worker(&first.0), first.1, 1)));
@@ -432,10 +432,10 @@
     b.started(&second.0, second.1, 1, Err(CallError::Refused(Refusal::Late)));
     b.commit();
     b.join("w3", 8);
-    b.pass(Millis(500));
+    b.advance(Millis(500));
     assert_eq!(b.starts().len(), 2, "the first member may be at work yet");
     b.report(&first.0, vec![], vec![end(1, first.1, 1, EndKind::Alone)]);
     b.commit();
-    b.pass(Millis(500));
+    b.advance(Millis(500));
     assert_eq!(b.starts().iter().skip(2).map(|(_, s)| s.run).collect::<Vec<_>>(), vec![2, 2]);
 }
--- a/components/dispatch/tests/life_schedules.rs
+++ b/components/dispatch/tests/life_schedules.rs
@@ -10,7 +10,7 @@
 use clock::Millis;
 use common::fleet::{Fleet, STEP};
 use common::host::Host;
-use common::mix::Mix;
+use common::mix::JobMix;
 use model::Size;
 use workload::WorkerId;
 
@@ -21,61 +21,61 @@
 const SHORTEST_LIFE: Millis = Millis(50);
 
 fn some(f: &mut Fleet, one_in: u64, wanted: impl Fn(&Fleet, &WorkerId) -> bool) -> Vec<WorkerId> {
-    let first = f.below(one_in) as usize;
+    let first = f.random_below(one_in) as usize;
     let all = f.workers(Host::is_usable).into_iter().filter(|id| wanted(f, id));
     all.skip(first).step_by(one_in as usize).collect()
 }
 
 fn restart(f: &mut Fleet, one_in: u64) {
-    f.crashes.down_for = Millis(20 + f.below(1_500));
+    f.crashes.down_for = Millis(20 + f.random_below(1_500));
     let is_old = |f: &Fleet, id: &WorkerId| id.incarnation().is_some() && f.age(id) > SHORTEST_LIFE;
     some(f, one_in, is_old).iter().for_each(|id| f.crash(id));
 }
 
-fn play_for(f: &mut Fleet, mix: &mut Mix, span: Millis) {
-    let until = f.bench.now + span;
-    while f.bench.now < until {
-        mix.play(f, STEP);
-        f.check_once();
+fn play_for(f: &mut Fleet, mix: &mut JobMix, span: Millis) {
+    let until = f.harness.now + span;
+    while f.harness.now < until {
+        mix.drive(f, STEP);
+        f.check_no_duplicate_runs();
     }
 }
 
-fn disturb(f: &mut Fleet, mix: &mut Mix) {
-    match f.below(10) {
-        0 | 1 => {
-            some(f, 3, |_, id| id.incarnation().is_none()).iter().for_each(|id| f.say_birth(id))
-        }
+fn disturb(f: &mut Fleet, mix: &mut JobMix) {
+    match f.random_below(10) {
+        0 | 1 => some(f, 3, |_, id| id.incarnation().is_none())
+            .iter()
+            .for_each(|id| f.announce_incarnation(id)),
         2 | 3 => restart(f, 9),
         4 => (0..3).for_each(|_| {
             restart(f, 6);
             play_for(f, mix, Millis(300));
         }),
         5 => restart(f, 2),
-        6 => f.lives_over().iter().for_each(|id| f.announce_late(id)),
+        6 => f.replaced_workers().iter().for_each(|id| f.announce_late(id)),
         7 => {
             f.lose_leader();
             play_for(f, mix, Millis(700));
             f.take_over();
         }
-        8 => some(f, 20, |_, _| true).iter().for_each(|id| f.give_notice(id)),
+        8 => some(f, 20, |_, _| true).iter().for_each(|id| f.announce_leaving(id)),
         _ => {}
     }
-    let pause = Millis(200 + f.below(1_500));
+    let pause = Millis(200 + f.random_below(1_500));
     play_for(f, mix, pause);
 }
 
-fn play(seed: u64) {
+fn drive(seed: u64) {
     let mut f = Fleet::new(seed, 12);
     f.join("w", 40, Size::new(8_000, 16_000, 0));
-    f.pass(Millis(500));
-    let mut mix = Mix::everyday(0.3);
+    f.advance(Millis(500));
+    let mut mix = JobMix::everyday(0.3);
     play_for(&mut f, &mut mix, Millis(2_000));
     for _ in 0..EVENTS {
         disturb(&mut f, &mut mix);
     }
-    f.pass(Millis(60_000));
+    f.advance(Millis(60_000));
     let over = f.jobs.keys().filter(|id| {
-        let job = f.bench.committed.job(**id);
+        let job = f.harness.committed.job(**id);
         job.is_none_or(|j| j.state.is_final() || j.spec.is_long_running())
     });
     assert_eq!(over.count(), f.jobs.len(), "seed {seed}: every job that can end has ended");
@@ -86,8 +86,8 @@
     let asked = std::env::var("HEATHVALE_LIFE_SEEDS").unwrap_or_default();
     let range = asked.split_once('-').and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
     match range {
-        Some((from, to)) => (from..=to).filter(|seed| *seed != 45).for_each(play),
-        None => SEEDS.for_each(play),
+        Some((from, to)) => (from..=to).filter(|seed| *seed != 45).for_each(drive),
+        None => SEEDS.for_each(drive),
     }
 }
 
@@ -99,5 +99,5 @@
 /// for advice in between, with capacity for 48 tasks free on 20 workers.
 #[test]
 fn a_step_at_fault_hears_soon_of_its_first_task() {
-    play(45);
+    drive(45);
 }
--- a/components/dispatch/tests/lives.rs
+++ b/components/dispatch/tests/lives.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use clock::Millis;
-use common::{Bench, SILENT, end, news, row, spec, step, task, worker};
+use common::{Harness, NO_ANSWER, announcement, end, row, spec, step, task, worker};
 use dispatch::{CallError, Input, Report, WorkerAnnouncement};
 use workload::{EndKind, JobState, WorkerId};
 
@@ -21,8 +21,8 @@
 
 /// Returns a dispatcher with one worker that does not announce its start time, on which a job of two tasks runs and
 /// of which four ends are in the log.
-fn with_a_job_that_runs() -> Bench {
-    let mut b = Bench::new("");
+fn with_a_job_that_runs() -> Harness {
+    let mut b = Harness::new("");
     b.join("w", 8);
     b.submit(1, spec(vec![step(4)]));
     b.commit();
@@ -39,33 +39,33 @@
 
 /// Returns the announcement of an incarnation, at the address that all incarnations of the worker have.
 fn news_of(life: &WorkerId, number: u64) -> WorkerAnnouncement {
-    let mut news = WorkerAnnouncement { number, ..news(name(life), 8) };
-    news.info.address = "w:1".into();
-    news
+    let mut announcement = WorkerAnnouncement { number, ..announcement(name(life), 8) };
+    announcement.info.address = "w:1".into();
+    announcement
 }
 
 /// Has the worker announce its start time.
-fn announce(b: &mut Bench, life: &WorkerId, number: u64) {
+fn announce(b: &mut Harness, life: &WorkerId, number: u64) {
     b.feed(Input::Announcement(news_of(life, number)));
     b.commit();
 }
 
 /// Has the worker answer the renewal that named no start time.
-fn answer(b: &mut Bench, life: &WorkerId) {
+fn answer(b: &mut Harness, life: &WorkerId) {
     let (worker, sent_at) = (worker("w"), b.now);
     b.feed(Input::Renewed { worker, sent_at, result: Err(CallError::Named(life.clone())) });
     b.commit();
 }
 
 /// The two ways by which a start time becomes known.
-const WAYS: [fn(&mut Bench, &WorkerId); 2] = [|b, l| announce(b, l, 9), answer];
+const WAYS: [fn(&mut Harness, &WorkerId); 2] = [|b, l| announce(b, l, 9), answer];
 
 /// Returns the same dispatcher once the incarnation is known, with how many starts there were until then.
-fn once_learnt(learn: fn(&mut Bench, &WorkerId)) -> (Bench, WorkerId, usize) {
+fn once_learnt(learn: fn(&mut Harness, &WorkerId)) -> (Harness, WorkerId, usize) {
     let (mut b, life) = (with_a_job_that_runs(), life(BORN));
     let starts = b.starts().len();
     learn(&mut b, &life);
-    b.pass(Millis(20));
+    b.advance(Millis(20));
     (b, life, starts)
 }
 
@@ -76,7 +76,7 @@
         assert_eq!(b.committed.workers().keys().collect::<Vec<_>>(), [&life]);
         let rows = (0..2).map(|i| row(task(2, 0, i), 1)).collect();
         b.report(name(&life), rows, vec![]);
-        b.pass(Millis(20));
+        b.advance(Millis(20));
         let ends = (0..2).map(|i| end(u64::from(i) + 5, task(2, 0, i), 1, EndKind::Done));
         b.report(name(&life), vec![], ends.collect());
         b.commit();
@@ -104,7 +104,7 @@
         let (mut b, life, starts) = once_learnt(learn);
         b.report(name(&life), vec![], vec![]);
         b.commit();
-        b.pass(Millis(20));
+        b.advance(Millis(20));
         assert_eq!(b.starts().len(), starts + 2);
     }
 }
@@ -113,15 +113,15 @@
 /// answers.
 #[test]
 fn a_start_under_way_is_sent_again_to_the_life_that_answers() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w", 8);
     b.submit(1, spec(vec![step(1)]));
     b.commit();
     announce(&mut b, &life(BORN), 9);
-    b.started("w", task(1, 0, 0), 1, Err(SILENT()));
-    b.pass(Millis(20));
+    b.started("w", task(1, 0, 0), 1, Err(NO_ANSWER()));
+    b.advance(Millis(20));
     b.report(name(&life(BORN)), vec![], vec![]);
-    b.pass(Millis(20));
+    b.advance(Millis(20));
     assert_eq!(b.starts().len(), 2, "the same run is started again");
     assert!(b.starts().iter().all(|(_, order)| order.run == 1));
 }
@@ -135,7 +135,7 @@
     moved.info.address = "elsewhere:1".into();
     b.feed(Input::Announcement(moved));
     b.commit();
-    let called = |b: &Bench| b.committed.worker(&life).map(|w| w.info.address.clone());
+    let called = |b: &Harness| b.committed.worker(&life).map(|w| w.info.address.clone());
     assert_eq!(called(&b).as_deref(), Some("elsewhere:1"));
     assert!(b.committed.worker(&worker("w")).is_some(), "until its lease is over");
 }
@@ -158,16 +158,16 @@
 /// count twice.
 #[test]
 fn announcements_without_the_birth_make_no_second_worker_of_one_that_is_known() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     announce(&mut b, &life(BORN), 1);
-    b.feed(Input::Announcement(WorkerAnnouncement { number: 7, ..news("w", 8) }));
+    b.feed(Input::Announcement(WorkerAnnouncement { number: 7, ..announcement("w", 8) }));
     b.commit();
     assert_eq!(b.committed.workers().keys().collect::<Vec<_>>(), [&life(BORN)]);
 }
 
 #[test]
 fn the_next_life_takes_work_whatever_the_one_before_has_said() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     let (first, next) = (life(BORN), life(BORN - 5_000));
     let leaving = WorkerAnnouncement { leaving: true, ..news_of(&first, 50) };
     announce(&mut b, &first, 1);
@@ -189,7 +189,7 @@
 
 #[test]
 fn reports_of_a_life_say_nothing_of_another() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     let (first, next) = (life(BORN), life(BORN + 5_000));
     announce(&mut b, &first, 1);
     announce(&mut b, &next, 1);
--- a/components/dispatch/tests/loads.rs
+++ b/components/dispatch/tests/loads.rs
@@ -1,6 +1,6 @@
 //! Each load pattern at its worst, simulated on the dispatcher with a fleet around it.
 //!
-//! In every pattern and at every step [`common::watch`] checks that no accepted task waits for long while its workers
+//! In every pattern and at every step [`common::wait_checker`] checks that no accepted task waits for long while its workers
 //! have free capacity, and that no worker is overcommitted; in the end every job must be done. `--nocapture` prints
 //! the waits from submission to first start.
 
@@ -9,7 +9,7 @@
 use clock::Millis;
 use common::fleet::{Fleet, Kind, NOTICE};
 use common::host::Host;
-use common::mix::{self, Mix};
+use common::mix::{self, JobMix};
 use common::step;
 use model::Size;
 use workload::{EndKind, StepSpec, TaskKey, WorkerId};
@@ -30,9 +30,9 @@
 fn fleet(seed: u64, callers: usize) -> Fleet {
     let mut f = Fleet::new(seed, callers);
     f.join("w", 48, worker_size());
-    f.pass(Millis(100));
+    f.advance(Millis(100));
     for _ in 0..12 {
-        mix::lasting(&mut f, None);
+        mix::long_running_job(&mut f, None);
     }
     f
 }
@@ -52,23 +52,23 @@
 }
 
 fn print(f: &Fleet, pattern: &str) {
-    for kind in [Kind::Quick, Kind::Batch, Kind::Gang, Kind::Lasting, Kind::Wide] {
+    for kind in [Kind::Quick, Kind::Batch, Kind::Gang, Kind::LongRunning, Kind::Wide] {
         let jobs = f.waits(kind).len();
         let (p95, longest) = waits(f, kind);
         if jobs > 0 {
             println!("{pattern}: {kind:?} {jobs} jobs, p95 {} ms, longest {} ms", p95.0, longest.0);
         }
     }
-    println!("{pattern}: longest wait despite free capacity {} ms", f.watch.longest.0);
+    println!("{pattern}: longest wait despite free capacity {} ms", f.wait_checker.longest.0);
     println!(
         "{pattern}: a long-running task was without a run for {} ms at most",
-        f.away.longest.0
+        f.downtime_checker.longest.0
     );
 }
 
 /// Waits until the fleet is idle, and checks how long jobs have waited.
 fn finish(mut f: Fleet, pattern: &str, bounds: &[Bound]) {
-    f.settle(Millis(120_000));
+    f.finish_all_jobs(Millis(120_000));
     print(&f, pattern);
     for bound in bounds {
         let (p95, longest) = waits(&f, bound.kind);
@@ -100,10 +100,10 @@
 fn two_bursts_one_on_the_other() {
     for seed in SEEDS {
         let mut f = fleet(seed, 12);
-        Mix::everyday(0.6).play(&mut f, WARM_UP);
-        Mix::new(0.25, 2.0, 0.0).play(&mut f, Millis(2_000));
-        Mix::new(2.0, 2.0, 0.0).play(&mut f, Millis(2_000));
-        Mix::everyday(0.6).play(&mut f, Millis(4_000));
+        JobMix::everyday(0.6).drive(&mut f, WARM_UP);
+        JobMix::new(0.25, 2.0, 0.0).drive(&mut f, Millis(2_000));
+        JobMix::new(2.0, 2.0, 0.0).drive(&mut f, Millis(2_000));
+        JobMix::everyday(0.6).drive(&mut f, Millis(4_000));
         finish(f, "two bursts", &[quick(6_000, 6_500), batch(14_000, 15_000)]);
     }
 }
@@ -114,13 +114,13 @@
 fn a_seventh_of_the_workers_leave_at_short_notice() {
     for seed in SEEDS {
         let mut f = fleet(seed, 12);
-        let mut mix = Mix::everyday(0.8);
-        mix.play(&mut f, WARM_UP);
+        let mut mix = JobMix::everyday(0.8);
+        mix.drive(&mut f, WARM_UP);
         let leaving: Vec<WorkerId> = f.workers(|_| true).into_iter().step_by(7).collect();
-        leaving.iter().for_each(|id| f.give_notice(id));
-        mix.play(&mut f, NOTICE);
+        leaving.iter().for_each(|id| f.announce_leaving(id));
+        mix.drive(&mut f, NOTICE);
         leaving.iter().for_each(|id| f.remove(id));
-        mix.play(&mut f, Millis(8_000));
+        mix.drive(&mut f, Millis(8_000));
         finish(f, "short notice", &[quick(200, 500), batch(3_000, 3_500), gang(16_000)]);
     }
 }
@@ -130,12 +130,12 @@
 fn no_leader_for_six_seconds() {
     for seed in SEEDS {
         let mut f = fleet(seed, 12);
-        let mut mix = Mix::everyday(0.7);
-        mix.play(&mut f, WARM_UP);
+        let mut mix = JobMix::everyday(0.7);
+        mix.drive(&mut f, WARM_UP);
         f.lose_leader();
-        mix.play(&mut f, Millis(6_000));
+        mix.drive(&mut f, Millis(6_000));
         f.take_over();
-        mix.play(&mut f, Millis(6_000));
+        mix.drive(&mut f, Millis(6_000));
         finish(f, "no leader", &[quick(7_500, 9_000), batch(15_000, 19_000), gang(18_000)]);
     }
 }
@@ -145,13 +145,13 @@
 fn a_zone_is_cut_off_at_full_load() {
     for seed in SEEDS {
         let mut f = fleet(seed, 12);
-        let mut mix = Mix::everyday(1.0);
-        mix.play(&mut f, WARM_UP);
+        let mut mix = JobMix::everyday(1.0);
+        mix.drive(&mut f, WARM_UP);
         let cut = f.workers(|h| *h.info.zone == *"z1");
         cut.iter().for_each(|id| f.set_silent(id, true));
-        mix.play(&mut f, Millis(6_000));
+        mix.drive(&mut f, Millis(6_000));
         cut.iter().for_each(|id| f.set_silent(id, false));
-        mix.play(&mut f, Millis(4_000));
+        mix.drive(&mut f, Millis(4_000));
         finish(f, "a zone cut off", &[quick(800, 8_500), batch(12_000, 14_000), gang(17_000)]);
     }
 }
@@ -161,14 +161,14 @@
 fn steps_wider_than_the_room_before_other_work() {
     for seed in SEEDS {
         let mut f = fleet(seed, 12);
-        f.pass(Millis(2_000));
+        f.advance(Millis(2_000));
         // Two of these tasks fit on a worker, and some 32 workers are allowed.
         let size = Size::new(CORES * 500, CORES * 1_000, 0);
         let too_wide = StepSpec { size, estimate: Millis(2_000), ..step(200) };
         for _ in 0..3 {
-            f.hand_in(Kind::Wide, "mid", vec![too_wide.clone()]);
+            f.submit_job(Kind::Wide, "mid", vec![too_wide.clone()]);
         }
-        Mix::everyday(0.3).play(&mut f, Millis(8_000));
+        JobMix::everyday(0.3).drive(&mut f, Millis(8_000));
         finish(f, "wide steps", &[quick(200, 500), batch(3_500, 3_500), wide(12_000)]);
     }
 }
@@ -183,20 +183,20 @@
 /// Submits 150 steps for some workers at once, and after a while jobs for others that stay nearly idle.
 fn hand_in_behind_many_steps(f: &mut Fleet, estimate: Millis, after: Millis, pause: Millis) {
     f.join("free", 12, worker_size());
-    f.pass(Millis(2_000));
+    f.advance(Millis(2_000));
     for _ in 0..150 {
-        f.hand_in(Kind::Wide, "mid", vec![lengthy("w", estimate)]);
+        f.submit_job(Kind::Wide, "mid", vec![lengthy("w", estimate)]);
     }
-    let mut quick_jobs = Mix::new(0.03, 0.0, 0.0);
-    quick_jobs.play(f, after);
+    let mut quick_jobs = JobMix::new(0.03, 0.0, 0.0);
+    quick_jobs.drive(f, after);
     // With so much slack these jobs come after all steps that wait for capacity.
     let estimate = Millis(12_000);
     let free = StepSpec { constraint: Some("free".into()), estimate, ..step(2) };
     for _ in 0..10 {
-        quick_jobs.play(f, pause);
-        f.hand_in(Kind::Batch, "bulk", vec![free.clone()]);
+        quick_jobs.drive(f, pause);
+        f.submit_job(Kind::Batch, "bulk", vec![free.clone()]);
     }
-    quick_jobs.play(f, Millis(3_000));
+    quick_jobs.drive(f, Millis(3_000));
 }
 
 /// Steps that wait for capacity want more calls for advice than can be made, and those for which capacity becomes
@@ -213,17 +213,18 @@
 
 /// Returns the long-running tasks that run, with their workers.
 fn lasting(f: &Fleet) -> Vec<(WorkerId, TaskKey)> {
-    let on =
-        |(id, h): (&WorkerId, &Host)| h.lasting().map(|key| (id.clone(), key)).collect::<Vec<_>>();
+    let on = |(id, h): (&WorkerId, &Host)| {
+        h.long_running_tasks().map(|key| (id.clone(), key)).collect::<Vec<_>>()
+    };
     f.hosts.iter().flat_map(on).collect()
 }
 
 /// Makes one of the long-running tasks fail.
 fn fail_one(f: &mut Fleet) -> TaskKey {
     let running = lasting(f);
-    let at = f.below(running.len() as u64) as usize;
+    let at = f.random_below(running.len() as u64) as usize;
     let (worker, task) = &running[at];
-    let now = f.bench.now;
+    let now = f.harness.now;
     if let Some(host) = f.hosts.get_mut(worker) {
         host.end(now, *task, EndKind::Failed);
     }
@@ -236,28 +237,28 @@
     let mut f = fleet(seed, 6);
     // There is always free capacity on these workers, where the backlog may not run.
     f.join("keep", 12, worker_size());
-    f.pass(Millis(2_000));
+    f.advance(Millis(2_000));
     for _ in 0..12 {
-        mix::lasting(&mut f, Some("keep"));
+        mix::long_running_job(&mut f, Some("keep"));
     }
-    f.pass(Millis(6_000));
+    f.advance(Millis(6_000));
     let all = lasting(&f).len();
     for _ in 0..80 {
-        f.hand_in(Kind::Wide, "mid", vec![lengthy("w", Millis(6_000))]);
+        f.submit_job(Kind::Wide, "mid", vec![lengthy("w", Millis(6_000))]);
     }
-    let mut mix = Mix::new(quick_share, 0.0, 0.0);
-    mix.play(&mut f, Millis(2_000));
+    let mut mix = JobMix::new(quick_share, 0.0, 0.0);
+    mix.drive(&mut f, Millis(2_000));
     let mut failed: Vec<(Millis, TaskKey)> = Vec::new();
     for _ in 0..40 {
         let task = fail_one(&mut f);
-        failed.push((f.bench.now, task));
-        mix.play(&mut f, Millis(250));
+        failed.push((f.harness.now, task));
+        mix.drive(&mut f, Millis(250));
         let running = lasting(&f);
         failed.retain(|(_, task)| !running.iter().any(|(_, t)| t == task));
-        let late = failed.iter().find(|(at, _)| f.bench.now.since(*at) > LONGEST_RESTART);
+        let late = failed.iter().find(|(at, _)| f.harness.now.since(*at) > LONGEST_RESTART);
         assert_eq!(late, None, "seed {seed}: a long-running task is not started again");
     }
-    f.pass(LONGEST_RESTART);
+    f.advance(LONGEST_RESTART);
     assert_eq!((all, lasting(&f).len()), (48, 48), "seed {seed}: all run again");
     finish(f, "long-running tasks", &[quick(200, 500), wide(30_000)]);
 }
@@ -274,13 +275,13 @@
 fn a_task_that_lasts_is_started_again_where_another_one_failed_long_before() {
     let mut f = Fleet::new(1, 2);
     f.join("keep", 4, worker_size());
-    f.pass(Millis(100));
+    f.advance(Millis(100));
     for _ in 0..8 {
-        mix::lasting(&mut f, Some("keep"));
+        mix::long_running_job(&mut f, Some("keep"));
     }
-    f.pass(Millis(5_000));
+    f.advance(Millis(5_000));
     for _ in 0..16 {
         fail_one(&mut f);
-        f.pass(Millis(30_000));
+        f.advance(Millis(30_000));
     }
 }
--- a/components/dispatch/tests/organisations.rs
+++ b/components/dispatch/tests/organisations.rs
@@ -4,7 +4,7 @@
 
 use clock::Millis;
 use common::organisations::with_key;
-use common::{Bench, job, spec, step, task};
+use common::{Harness, job, spec, step, task};
 use dispatch::{Answer, Verb};
 use model::Size;
 use rstest::rstest;
@@ -13,7 +13,7 @@
 const PATH: &str = "/q/00000000000000aa";
 const TWO: &str = "public org=a:4000:1:key-a,other-a org=b:0:1:key-b";
 
-fn submit_to(b: &mut Bench, credential: Credential, path: &str) -> Option<Answer> {
+fn submit_to(b: &mut Harness, credential: Credential, path: &str) -> Option<Answer> {
     let token = b.call_with(credential, path, Verb::Submit(spec(vec![step(1)])));
     b.commit();
     b.answer(token).cloned()
@@ -26,7 +26,7 @@
 #[case::missing(Credential::None, Answer::NoKey)]
 #[case::malformed(Credential::Malformed, Answer::NoKey)]
 fn a_call_needs_a_key_of_an_organisation(#[case] shown: Credential, #[case] answer: Answer) {
-    let mut b = Bench::new(TWO);
+    let mut b = Harness::new(TWO);
     assert_eq!(submit_to(&mut b, shown, PATH), Some(answer.clone()));
     assert_eq!(b.committed.jobs().len(), usize::from(answer == Answer::Accepted));
 }
@@ -36,21 +36,21 @@
 #[case::unknown(with_key("key-c"), None)]
 #[case::missing(Credential::None, None)]
 fn a_public_queue_needs_none(#[case] shown: Credential, #[case] owner: Option<&str>) {
-    let mut b = Bench::new(TWO);
+    let mut b = Harness::new(TWO);
     assert_eq!(submit_to(&mut b, shown, "/mid/00000000000000aa"), Some(Answer::Accepted));
     assert_eq!(b.committed.ownership().owner(job(0xaa)).map(|o| &**o), owner);
 }
 
 #[test]
 fn without_organisations_no_call_needs_a_key() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     assert_eq!(submit_to(&mut b, Credential::None, PATH), Some(Answer::Accepted));
     assert_eq!(submit_to(&mut b, with_key("any"), PATH), Some(Answer::Accepted));
 }
 
 #[test]
 fn a_queue_that_is_not_there_is_told_before_a_key_is_asked_for() {
-    let mut b = Bench::new(TWO);
+    let mut b = Harness::new(TWO);
     let elsewhere = "/none/00000000000000aa";
     assert_eq!(submit_to(&mut b, Credential::None, elsewhere), Some(Answer::NoQueue));
 }
@@ -65,7 +65,7 @@
     #[case] looked: Answer,
     #[case] cancelled: Answer,
 ) {
-    let mut b = Bench::new(TWO);
+    let mut b = Harness::new(TWO);
     submit_to(&mut b, with_key("key-a"), PATH);
     let look = b.call_with(with_key(key), PATH, Verb::Query);
     let cancel = b.call_with(with_key(key), PATH, Verb::Cancel);
@@ -76,7 +76,7 @@
 
 #[test]
 fn an_id_that_another_organisation_has_taken_is_refused() {
-    let mut b = Bench::new(TWO);
+    let mut b = Harness::new(TWO);
     submit_to(&mut b, with_key("key-a"), PATH);
     let answer = submit_to(&mut b, with_key("key-b"), PATH);
     assert!(matches!(answer, Some(Answer::Invalid(_))), "{answer:?}");
@@ -86,7 +86,7 @@
 
 #[test]
 fn a_key_that_is_taken_away_ends_calls_and_not_jobs() {
-    let mut b = Bench::new(TWO);
+    let mut b = Harness::new(TWO);
     b.join("w1", 4);
     submit_to(&mut b, with_key("key-a"), PATH);
     b.publish(2, "org=a:4000:1: org=b:0:1:key-b,key-a");
@@ -103,10 +103,10 @@
 
 #[test]
 fn a_new_leader_knows_the_keys_and_the_owners() {
-    let mut b = Bench::new(TWO);
+    let mut b = Harness::new(TWO);
     submit_to(&mut b, with_key("key-a"), PATH);
-    let mut b = Bench::take_over(b.committed, 2, b.now + Millis(100));
-    let look = |b: &mut Bench, key| b.call_with(with_key(key), PATH, Verb::Query);
+    let mut b = Harness::take_over(b.committed, 2, b.now + Millis(100));
+    let look = |b: &mut Harness, key| b.call_with(with_key(key), PATH, Verb::Query);
     let (own, other, unknown) =
         (look(&mut b, "other-a"), look(&mut b, "key-b"), look(&mut b, "key-c"));
     assert_eq!(b.answer(own), Some(&Answer::State(JobState::Queued)));
@@ -117,10 +117,10 @@
 /// Load pattern: one organisation submits more than it may have running, on a fleet with capacity for all of it.
 #[test]
 fn no_more_runs_than_the_limit_and_the_rest_follows_as_runs_end() {
-    let mut b = Bench::new(TWO);
+    let mut b = Harness::new(TWO);
     b.join("w1", 16);
-    b.submit_with("key-a", PATH, spec(vec![step(6)]));
-    b.submit_with("key-b", "/q/00000000000000bb", spec(vec![step(6)]));
+    b.submit_with_key("key-a", PATH, spec(vec![step(6)]));
+    b.submit_with_key("key-b", "/q/00000000000000bb", spec(vec![step(6)]));
     b.commit();
     assert_eq!(b.starts().len(), 4 + 6);
     assert_eq!(b.committed.ownership().used("a"), Size::new(4_000, 4_000, 0));
@@ -128,16 +128,16 @@
     b.started("w1", ended.task, ended.run, Ok(()));
     b.report("w1", vec![], vec![common::end(1, ended.task, ended.run, EndKind::Done)]);
     b.commit();
-    b.pass(Millis(100));
+    b.advance(Millis(100));
     assert_eq!(b.starts().len(), 11);
 }
 
 /// Tasks that are placed and withdrawn again would fill the log with both at every plan.
 #[test]
 fn a_plan_places_no_more_than_the_limit() {
-    let mut b = Bench::new(TWO);
+    let mut b = Harness::new(TWO);
     b.join("w1", 16);
-    b.submit_with("key-a", PATH, spec(vec![step(6)]));
+    b.submit_with_key("key-a", PATH, spec(vec![step(6)]));
     let commands = b.pending.iter().flat_map(|(_, commands)| commands);
     let placed = |c: &Command| if let Command::Started { runs, .. } = c { runs.len() } else { 0 };
     assert_eq!(commands.map(placed).sum::<usize>(), 4);
@@ -145,13 +145,13 @@
 
 #[test]
 fn a_new_leader_counts_what_runs() {
-    let mut b = Bench::new(TWO);
+    let mut b = Harness::new(TWO);
     b.join("w1", 16);
-    b.submit_with("key-a", PATH, spec(vec![step(3)]));
+    b.submit_with_key("key-a", PATH, spec(vec![step(3)]));
     b.commit();
-    let mut b = Bench::take_over(b.committed, 2, b.now + Millis(100));
+    let mut b = Harness::take_over(b.committed, 2, b.now + Millis(100));
     b.join("w2", 16);
-    b.submit_with("key-a", "/q/00000000000000bb", spec(vec![step(4)]));
+    b.submit_with_key("key-a", "/q/00000000000000bb", spec(vec![step(4)]));
     b.commit();
     // The worker that runs the first three has not reported to the new leader yet.
     assert_eq!(b.starts().len(), 1);
@@ -161,11 +161,11 @@
 #[case::fits_beside(3, 3)]
 #[case::waits_whole(4, 0)]
 fn a_gang_starts_whole_within_the_limit_or_not_at_all(#[case] members: u32, #[case] start: usize) {
-    let mut b = Bench::new("org=a:4000:1:key-a");
+    let mut b = Harness::new("org=a:4000:1:key-a");
     b.join("w1", 16);
-    b.submit_with("key-a", PATH, spec(vec![step(1)]));
+    b.submit_with_key("key-a", PATH, spec(vec![step(1)]));
     let gang = StepSpec { gang: true, ..step(members) };
-    b.submit_with("key-a", "/q/00000000000000bb", spec(vec![gang]));
+    b.submit_with_key("key-a", "/q/00000000000000bb", spec(vec![gang]));
     b.commit();
     let of_gang = b.starts().iter().filter(|(_, s)| s.task.step.job == job(0xbb)).count();
     assert_eq!(of_gang, start);
@@ -173,39 +173,39 @@
 
 #[test]
 fn a_lowered_limit_stops_nothing_that_runs_and_starts_nothing_above_it() {
-    let mut b = Bench::new(TWO);
+    let mut b = Harness::new(TWO);
     b.join("w1", 16);
-    b.submit_with("key-a", PATH, spec(vec![step(4)]));
+    b.submit_with_key("key-a", PATH, spec(vec![step(4)]));
     b.commit();
     b.publish(2, "org=a:2000:1:key-a org=b:0:1:key-b");
-    b.submit_with("key-a", "/q/00000000000000bb", spec(vec![step(1)]));
+    b.submit_with_key("key-a", "/q/00000000000000bb", spec(vec![step(1)]));
     b.commit();
-    b.pass(Millis(200));
+    b.advance(Millis(200));
     assert_eq!((b.starts().len(), b.stops().len()), (4, 0));
 }
 
 #[test]
 fn a_start_that_was_not_sent_before_the_limit_was_lowered_is_taken_back() {
-    let mut b = Bench::new(TWO);
+    let mut b = Harness::new(TWO);
     b.join("w1", 16);
-    b.submit_with("key-a", PATH, spec(vec![step(4)]));
+    b.submit_with_key("key-a", PATH, spec(vec![step(4)]));
     b.publish(2, "org=a:2000:1:key-a org=b:0:1:key-b");
     b.commit();
-    b.pass(Millis(200));
+    b.advance(Millis(200));
     assert_eq!(b.starts().len(), 2);
     assert_eq!(b.committed.ownership().used("a"), Size::new(2_000, 2_000, 0));
 }
 
 #[test]
 fn a_start_without_an_answer_is_not_sent_again_above_a_lowered_limit() {
-    let mut b = Bench::new(TWO);
+    let mut b = Harness::new(TWO);
     b.join("w1", 16);
-    b.submit_with("key-a", PATH, spec(vec![step(1)]));
+    b.submit_with_key("key-a", PATH, spec(vec![step(1)]));
     b.commit();
     b.publish(2, "org=a:500:1:key-a org=b:0:1:key-b");
     b.commit();
-    b.started("w1", task(0xaa, 0, 0), 1, Err(common::SILENT()));
-    b.pass(Millis(200));
+    b.started("w1", task(0xaa, 0, 0), 1, Err(common::NO_ANSWER()));
+    b.advance(Millis(200));
     assert_eq!(b.starts().len(), 1);
     assert_eq!(b.stops().len(), 1);
 }
@@ -215,8 +215,8 @@
 #[case::a_gang_too_wide(StepSpec { gang: true, ..step(5) }, false)]
 #[case::a_step_that_goes_in_waves(step(50), true)]
 fn what_never_fits_its_limit_is_refused_at_once(#[case] step: StepSpec, #[case] taken: bool) {
-    let mut b = Bench::new(TWO);
-    let token = b.submit_with("key-a", PATH, spec(vec![step]));
+    let mut b = Harness::new(TWO);
+    let token = b.submit_with_key("key-a", PATH, spec(vec![step]));
     b.commit();
     let accepted = matches!(b.answer(token), Some(Answer::Accepted));
     assert_eq!(accepted, taken);
@@ -227,35 +227,35 @@
 /// calls for advice, reserve no capacity and hold nobody up.
 #[test]
 fn what_waits_for_its_limit_takes_neither_calls_nor_looks_nor_room() {
-    let mut b = Bench::new("advice, long org=a:1000:1:key-a org=b:0:1:key-b");
-    b.helpers(&["e1", "e2", "e3", "e4"]);
+    let mut b = Harness::new("advice, long org=a:1000:1:key-a org=b:0:1:key-b");
+    b.set_advice_callers(&["e1", "e2", "e3", "e4"]);
     b.join("w1", 16);
-    b.submit_with("key-a", "/bulk/00000000000000aa", spec(vec![step(1)]));
+    b.submit_with_key("key-a", "/bulk/00000000000000aa", spec(vec![step(1)]));
     b.commit();
-    let first = b.asks(None)[0].clone();
-    b.advise(&first, &["w1"]);
+    let first = b.advice_requests(None)[0].clone();
+    b.answer_advice(&first, &["w1"]);
     assert_eq!(b.starts().len(), 1);
     let large = StepSpec { size: Size::new(1_000, 16_000, 0), ..step(1) };
     for n in 0..300 {
         let path = format!("/bulk/{:016x}", 0x1000 + n);
-        b.submit_with("key-a", &path, spec(vec![large.clone()]));
+        b.submit_with_key("key-a", &path, spec(vec![large.clone()]));
     }
     b.commit();
-    b.submit_with("key-b", "/bulk/00000000000000bb", spec(vec![step(1)]));
+    b.submit_with_key("key-b", "/bulk/00000000000000bb", spec(vec![step(1)]));
     b.commit();
-    b.pass(Millis(50));
-    assert_eq!(b.asks(None).len(), 2, "calls are made only for steps that may start");
-    let ask = b.asks(Some(0xbb))[0].clone();
-    b.advise(&ask, &["w1"]);
-    b.pass(Millis(50));
+    b.advance(Millis(50));
+    assert_eq!(b.advice_requests(None).len(), 2, "calls are made only for steps that may start");
+    let ask = b.advice_requests(Some(0xbb))[0].clone();
+    b.answer_advice(&ask, &["w1"]);
+    b.advance(Millis(50));
     assert_eq!(b.starts().len(), 2);
 }
 
 #[test]
 fn the_figures_tell_what_waits_at_a_limit() {
-    let mut b = Bench::new(TWO);
+    let mut b = Harness::new(TWO);
     b.join("w1", 16);
-    b.submit_with("key-a", PATH, spec(vec![step(6)]));
+    b.submit_with_key("key-a", PATH, spec(vec![step(6)]));
     b.commit();
     let of = b.dispatcher.organisation_figures();
     assert_eq!((of["a"].open_steps, of["a"].steps_at_limit), (1, 1));
--- a/components/dispatch/tests/overfull.rs
+++ b/components/dispatch/tests/overfull.rs
@@ -5,13 +5,13 @@
 //! free went to them or was reserved for them. Quick jobs found a worker after 17 to 20 s, a quarter of them too
 //! late: on a simulated day with a quarter more traffic than the fleet can take, 95 of 100 first starts came within
 //! 18.5 s, and 268 of 579 quick requests failed. Those that have run and lost their run still come first, which
-//! [`common::away`] checks at each step.
+//! [`common::downtime_checker`] checks at each step.
 
 mod common;
 
 use clock::Millis;
 use common::fleet::{Fleet, Kind};
-use common::mix::Mix;
+use common::mix::JobMix;
 use common::step;
 use model::Size;
 use rstest::rstest;
@@ -24,19 +24,19 @@
 const PRESSED: Millis = Millis(25_000);
 
 /// Submits jobs of long-running tasks at a steady rate. Every eighth has a task that fails by itself now and then.
-fn press(f: &mut Fleet, mix: &mut Mix) {
-    let until = f.bench.now + PRESSED;
+fn press(f: &mut Fleet, mix: &mut JobMix) {
+    let until = f.harness.now + PRESSED;
     let mut handed_in = 0;
-    while f.bench.now < until {
+    while f.harness.now < until {
         let size = Size::new(2_000, 1_000, 0);
         let estimate = Millis(20_000);
         let spec = StepSpec { long_running: true, size, estimate, ..step(4) };
-        let job = f.hand_in(Kind::Lasting, "mid", vec![spec]);
+        let job = f.submit_job(Kind::LongRunning, "mid", vec![spec]);
         handed_in += 1;
         if handed_in % 8 == 0 {
-            f.make_restless(common::task(job.0, 0, 0), Millis(4_000));
+            f.fail_runs_after(common::task(job.0, 0, 0), Millis(4_000));
         }
-        mix.play(f, Millis(400));
+        mix.drive(f, Millis(400));
     }
 }
 
@@ -45,15 +45,18 @@
     let mut f = Fleet::new(seed, 10);
     f.allow(60);
     f.join("w", 40, Size::new(16_000, 32_000, 0));
-    f.pass(Millis(500));
-    let mut mix = Mix::new(0.45, 0.25, 0.03);
+    f.advance(Millis(500));
+    let mut mix = JobMix::new(0.45, 0.25, 0.03);
     mix.wide = 0.3;
-    mix.play(&mut f, Millis(3_000));
+    mix.drive(&mut f, Millis(3_000));
     press(&mut f, &mut mix);
     let waits = f.waits(Kind::Quick);
     let handed_in = f.jobs.values().filter(|j| j.kind == Kind::Quick).count();
     let at = handed_in * 95 / 100;
     let p95 = waits.get(at).copied().unwrap_or(PRESSED);
-    println!("seed {seed}: p95 {p95:?}, long-running tasks without a run for {:?}", f.away.longest);
+    println!(
+        "seed {seed}: p95 {p95:?}, long-running tasks without a run for {:?}",
+        f.downtime_checker.longest
+    );
     assert!(p95 <= FIRST_STARTS, "seed {seed}: 95 of 100 quick jobs started within {p95:?}");
 }
--- a/components/dispatch/tests/placing.rs
+++ b/components/dispatch/tests/placing.rs
@@ -6,18 +6,18 @@
 use std::sync::Arc;
 
 use clock::Millis;
-use common::{Bench, end, news, spec, step, task, worker};
+use common::{Harness, announcement, end, spec, step, task, worker};
 use model::Size;
 use workload::{EndKind, JobSpec, StepSpec, WorkerId};
 
 /// Has a worker with labels join.
-fn join_labelled(b: &mut Bench, name: &str, cores: u64, labels: &[&str]) {
-    let mut news = news(name, cores);
-    news.info.labels = labels.iter().map(|l| (*l).into()).collect();
-    b.join_as(news);
+fn join_labelled(b: &mut Harness, name: &str, cores: u64, labels: &[&str]) {
+    let mut announcement = announcement(name, cores);
+    announcement.info.labels = labels.iter().map(|l| (*l).into()).collect();
+    b.join_as(announcement);
 }
 
-fn count_by_worker(b: &Bench) -> BTreeMap<WorkerId, usize> {
+fn count_by_worker(b: &Harness) -> BTreeMap<WorkerId, usize> {
     let mut count = BTreeMap::new();
     b.starts().into_iter().for_each(|(w, _)| *count.entry(w).or_default() += 1);
     count
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_task_starts_only_on_workers_that_bear_its_label() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     join_labelled(&mut b, "w1", 8, &["a", "r1"]);
     b.submit(1, spec(vec![StepSpec { constraint: Some("b".into()), ..step(2) }]));
     b.commit();
@@ -37,12 +37,12 @@
 
 #[test]
 fn no_worker_gets_more_tasks_of_a_step_than_the_step_allows() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 8);
     b.join("w2", 8);
     b.submit(1, spec(vec![StepSpec { max_per_worker: 1, ..step(3) }]));
     b.commit();
-    b.pass(Millis(100));
+    b.advance(Millis(100));
     assert_eq!(count_by_worker(&b), [(worker("w1"), 1), (worker("w2"), 1)].into());
     // Another start on the worker of an ended task is within the limit.
     let (first, _) = b.starts().remove(0);
@@ -50,13 +50,13 @@
     b.started(&first.0, key, 1, Ok(()));
     b.report(&first.0, vec![], vec![end(1, key, 1, EndKind::Done)]);
     b.commit();
-    b.pass(Millis(10));
+    b.advance(Millis(10));
     assert_eq!(b.starts().len(), 3);
 }
 
 #[test]
 fn tasks_go_to_the_rack_of_their_data_while_it_has_room() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     join_labelled(&mut b, "w1", 8, &["a", "r1"]);
     join_labelled(&mut b, "w2", 2, &["a", "r2"]);
     b.submit(1, spec(vec![StepSpec { rack: Some("r2".into()), ..step(3) }]));
@@ -66,7 +66,7 @@
 
 #[test]
 fn a_gang_goes_to_one_rack_where_that_makes_it_fast_and_one_has_room() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     join_labelled(&mut b, "w1", 2, &["a", "r1"]);
     join_labelled(&mut b, "w2", 2, &["a", "r2"]);
     join_labelled(&mut b, "w3", 2, &["a", "r2"]);
@@ -77,7 +77,7 @@
 
 #[test]
 fn fillers_and_tasks_that_keep_a_target_latency_stay_apart() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 8);
     let serving = StepSpec { long_running: true, target_latency: Millis(50), ..step(1) };
     b.submit(1, spec(vec![serving]));
@@ -92,7 +92,7 @@
 
 #[test]
 fn a_filler_leaves_the_processor_of_others_and_takes_memory() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 4);
     b.submit(1, spec(vec![StepSpec { filler: true, ..step(2) }]));
     b.commit();
@@ -106,7 +106,7 @@
 
 #[test]
 fn each_round_of_a_timed_job_starts_when_it_is_due_and_not_before() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 8);
     let due = b.now + Millis(1_000);
     let timed = JobSpec {
@@ -120,7 +120,7 @@
     b.commit();
     let mut started = Vec::new();
     for _ in 0..40 {
-        b.pass(Millis(50));
+        b.advance(Millis(50));
         b.report("w1", vec![], vec![]);
         while started.len() < b.starts().len() {
             started.push((b.now.since(due).0, b.starts()[started.len()].1.task.step.round));
@@ -133,7 +133,7 @@
 
 #[test]
 fn a_step_that_needs_more_than_any_worker_has_leaves_others_alone() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 4);
     let huge = StepSpec { size: Size::new(64_000, 1_000, 0), ..step(1) };
     b.submit(1, spec(vec![huge]));
@@ -144,10 +144,10 @@
 }
 
 /// Has a worker with accelerators join.
-fn join_with_accelerators(b: &mut Bench, name: &str, accelerators: u64) {
-    let mut news = news(name, 32);
-    news.info.capacity.accelerators = accelerators;
-    b.join_as(news);
+fn join_with_accelerators(b: &mut Harness, name: &str, accelerators: u64) {
+    let mut announcement = announcement(name, 32);
+    announcement.info.capacity.accelerators = accelerators;
+    b.join_as(announcement);
 }
 
 fn accelerated(count: u32, accelerators: u64) -> StepSpec {
@@ -156,7 +156,7 @@
 
 #[test]
 fn tasks_with_one_accelerator_share_a_worker_so_that_others_stay_whole() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     for name in ["w1", "w2", "w3"] {
         join_with_accelerators(&mut b, name, 8);
     }
--- a/components/dispatch/tests/probes.rs
+++ b/components/dispatch/tests/probes.rs
@@ -8,7 +8,7 @@
 //!     1005530 run_placed 0000000000000001.0.0.0 run=2 worker=w01
 //!     1006550 the worker is cut off; nothing is placed up to 1008120, when the others have waited for three seconds
 //!
-//! [`common::watch`] fails the test if a task waits for three seconds while workers have free capacity.
+//! [`common::wait_checker`] fails the test if a task waits for three seconds while workers have free capacity.
 
 mod common;
 
@@ -32,23 +32,23 @@
         let mut f = Fleet::new(seed, 6);
         f.allow_all();
         f.join("w", 20, Size::new(8_000, 16_000, 0));
-        f.pass(Millis(500));
+        f.advance(Millis(500));
         let spread = StepSpec { estimate: Millis(4_000), max_per_worker: 1, ..step(5) };
-        let job = f.hand_in(Kind::Batch, "bulk", vec![spread]);
-        f.pass(Millis(1_200));
+        let job = f.submit_job(Kind::Batch, "bulk", vec![spread]);
+        f.advance(Millis(1_200));
         let busy = f.workers(|h| !h.fake.running.is_empty());
         assert_eq!(busy.len(), 5, "seed {seed}");
         busy.iter().for_each(|id| f.crash(id));
         let first = first_to_run(&mut f);
         assert_eq!(first.len(), 1, "seed {seed}: one task starts again first");
         if let Some(after) = cut_after {
-            f.pass(after);
+            f.advance(after);
             first.iter().for_each(|id| f.set_silent(id, true));
-            f.pass(Millis(8_000));
+            f.advance(Millis(8_000));
             first.iter().filter(|_| comes_back).for_each(|id| f.set_silent(id, false));
         }
-        f.pass(Millis(25_000));
-        let state = f.bench.committed.job(job).map(|j| j.state);
+        f.advance(Millis(25_000));
+        let state = f.harness.committed.job(job).map(|j| j.state);
         assert_eq!(state, Some(JobState::Completed), "seed {seed}");
     }
 }
@@ -57,7 +57,7 @@
 fn first_to_run(f: &mut Fleet) -> Vec<WorkerId> {
     let running = |f: &Fleet| f.workers(|h: &Host| !h.fake.running.is_empty());
     for _ in 0..900 {
-        f.pass(Millis(10));
+        f.advance(Millis(10));
         if !running(f).is_empty() {
             break;
         }
--- a/components/dispatch/tests/restart_waves.rs
+++ b/components/dispatch/tests/restart_waves.rs
@@ -7,7 +7,7 @@
 use common::fleet::crash::Fault;
 use common::fleet::{Fleet, Kind};
 use common::host::Host;
-use common::mix::{self, Mix};
+use common::mix::{self, JobMix};
 use common::{step, task};
 use model::Size;
 use rand::seq::SliceRandom;
@@ -40,13 +40,13 @@
 fn fleet(seed: u64, workers: usize) -> Fleet {
     let mut f = Fleet::new(seed, workers.max(FEWEST_CALLERS * 4) / 4);
     f.join("w", workers, Size::new(16_000, 32_000, 0));
-    f.pass(Millis(500));
+    f.advance(Millis(500));
     f.crashes.down_for = Millis(400);
     f
 }
 
 /// Restarts workers, evenly over the duration of a wave.
-fn wave(f: &mut Fleet, mix: &mut Mix, restarts: Restarts) {
+fn wave(f: &mut Fleet, mix: &mut JobMix, restarts: Restarts) {
     let mut usable = f.workers(Host::is_usable);
     usable.shuffle(&mut f.rng);
     let hit: Vec<WorkerId> = usable.into_iter().take(restarts.hit).collect();
@@ -54,24 +54,24 @@
     for id in &hit {
         f.crash(id);
         if between > Millis::ZERO {
-            mix.play(f, between);
+            mix.drive(f, between);
         }
     }
 }
 
-fn play(f: &mut Fleet, mix: &mut Mix, restarts: Restarts) {
+fn drive(f: &mut Fleet, mix: &mut JobMix, restarts: Restarts) {
     for _ in 0..SERIES {
         for _ in 0..WAVES {
             wave(f, mix, restarts);
-            mix.play(f, restarts.pause);
+            mix.drive(f, restarts.pause);
         }
-        mix.play(f, Millis(6_000));
+        mix.drive(f, Millis(6_000));
     }
 }
 
 fn given_up(f: &Fleet) -> Vec<JobId> {
     let failed =
-        |id: &&JobId| f.bench.committed.job(**id).is_some_and(|j| j.state == JobState::Failed);
+        |id: &&JobId| f.harness.committed.job(**id).is_some_and(|j| j.state == JobState::Failed);
     f.jobs.keys().filter(failed).copied().collect()
 }
 
@@ -89,20 +89,20 @@
     let seeds = if restarts.workers < LARGE_FLEET { 2 } else { 1 };
     for seed in 1..=seeds {
         let mut f = fleet(seed, restarts.workers);
-        let mut mix = Mix::new(0.08, 0.1, 0.05);
+        let mut mix = JobMix::new(0.08, 0.1, 0.05);
         let width = (restarts.workers as u32 / 3).max(2);
         let wide = StepSpec { gang: true, estimate: Millis(6_000), ..step(width) };
-        (0..3).for_each(|_| mix::lasting(&mut f, None));
+        (0..3).for_each(|_| mix::long_running_job(&mut f, None));
         for _ in 0..2 {
-            f.hand_in(Kind::Gang, "bulk", vec![wide.clone()]);
+            f.submit_job(Kind::Gang, "bulk", vec![wide.clone()]);
         }
-        mix.play(&mut f, Millis(1_500));
-        play(&mut f, &mut mix, restarts);
-        mix.play(&mut f, Millis(10_000));
+        mix.drive(&mut f, Millis(1_500));
+        drive(&mut f, &mut mix, restarts);
+        mix.drive(&mut f, Millis(10_000));
         if let Some(job) = given_up(&f).first() {
             panic!("seed {seed}: {job} is given up\n{}", f.trace(*job));
         }
-        f.settle(Millis(60_000));
+        f.finish_all_jobs(Millis(60_000));
     }
 }
 
@@ -111,21 +111,21 @@
 #[rstest]
 fn no_job_that_is_well_is_given_up_as_workers_lose_power(#[values(1, 2, 3)] seed: u64) {
     let mut f = fleet(seed, 48);
-    let mut mix = Mix::new(0.08, 0.1, 0.05);
+    let mut mix = JobMix::new(0.08, 0.1, 0.05);
     for _ in 0..6 {
-        f.hand_in(Kind::Batch, "bulk", vec![StepSpec { estimate: Millis(9_000), ..step(24) }]);
+        f.submit_job(Kind::Batch, "bulk", vec![StepSpec { estimate: Millis(9_000), ..step(24) }]);
     }
-    mix.play(&mut f, Millis(2_000));
+    mix.drive(&mut f, Millis(2_000));
     for _ in 0..5 {
         let mut dark = f.workers(Host::is_usable);
         dark.shuffle(&mut f.rng);
         dark.truncate(16);
         dark.iter().for_each(|id| f.set_silent(id, true));
-        mix.play(&mut f, Millis(2_600));
+        mix.drive(&mut f, Millis(2_600));
         dark.iter().for_each(|id| f.crash(id));
-        mix.play(&mut f, Millis(2_500));
+        mix.drive(&mut f, Millis(2_500));
     }
-    mix.play(&mut f, Millis(10_000));
+    mix.drive(&mut f, Millis(10_000));
     if let Some(job) = given_up(&f).first() {
         panic!("seed {seed}: {job} is given up\n{}", f.trace(*job));
     }
@@ -140,17 +140,17 @@
     let restarts = Restarts { workers: 48, hit: 16, pause: Millis(1_300), spread: Millis(0) };
     for seed in 1..=2 {
         let mut f = fleet(seed, restarts.workers);
-        let mut mix = Mix::new(0.08, 0.1, 0.05);
-        mix.play(&mut f, Millis(1_500));
+        let mut mix = JobMix::new(0.08, 0.1, 0.05);
+        mix.drive(&mut f, Millis(1_500));
         let estimate = Millis(2_500);
         let tasks = StepSpec { estimate, ..step(10) };
-        let single = f.hand_in(Kind::Batch, "bulk", vec![tasks]);
+        let single = f.submit_job(Kind::Batch, "bulk", vec![tasks]);
         f.make_faulty(task(single.0, 0, 0), fault);
         let spec = StepSpec { gang: true, estimate, ..step(4) };
-        let gang = f.hand_in(Kind::Gang, "bulk", vec![spec]);
+        let gang = f.submit_job(Kind::Gang, "bulk", vec![spec]);
         f.make_faulty(task(gang.0, 0, 2), fault);
-        play(&mut f, &mut mix, restarts);
-        mix.play(&mut f, Millis(25_000));
+        drive(&mut f, &mut mix, restarts);
+        mix.drive(&mut f, Millis(25_000));
         for job in [single, gang] {
             let trace = f.trace(job);
             assert!(given_up(&f).contains(&job), "seed {seed}: {job} goes on\n{trace}");
--- a/components/dispatch/tests/room.rs
+++ b/components/dispatch/tests/room.rs
@@ -5,7 +5,7 @@
 
 use clock::Millis;
 use common::setups::wide;
-use common::{Bench, end, row, spec, task};
+use common::{Harness, end, row, spec, task};
 use workload::{EndKind, StepSpec};
 
 fn gang(count: u32, cores: u64) -> StepSpec {
@@ -18,8 +18,8 @@
 
 /// Returns a dispatcher with two workers of eight cores, each of which runs a confirmed bulk task that takes `cores`
 /// and is changed by `of`.
-fn with_bulk_work(of: impl Fn(StepSpec) -> StepSpec, cores: u64, estimate: Millis) -> Bench {
-    let mut b = Bench::new("");
+fn with_bulk_work(of: impl Fn(StepSpec) -> StepSpec, cores: u64, estimate: Millis) -> Harness {
+    let mut b = Harness::new("");
     b.join("w1", 8);
     b.join("w2", 8);
     let long = |s: StepSpec| StepSpec { estimate, ..s };
@@ -39,8 +39,8 @@
     b.commit();
     assert_eq!(b.stops().len(), 2);
     // They are stopped once, however often the dispatcher plans until they are gone.
-    b.pass(Millis(50));
-    b.pass(Millis(50));
+    b.advance(Millis(50));
+    b.advance(Millis(50));
     assert_eq!(b.stops().len(), 2);
     for (worker, key, run) in b.stops() {
         b.stopped(&worker.0, key, run);
@@ -69,7 +69,7 @@
 
 #[test]
 fn no_run_is_stopped_that_is_as_urgent_as_the_gang() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 8);
     b.submit(1, spec(vec![keeping(StepSpec { estimate: Millis(20_000), ..wide(1, 5) })]));
     b.commit();
@@ -90,7 +90,7 @@
 #[test]
 fn a_wall_clock_that_jumps_makes_no_job_late_or_early() {
     let mut b = with_bulk_work(keeping, 5, Millis(2_000));
-    b.wall_behind = Millis(60_000);
+    b.wall_clock_lag = Millis(60_000);
     b.submit(2, spec(vec![gang(2, 8)]));
     b.commit();
     assert!(b.stops().is_empty(), "the bulk job has as little slack as before");
@@ -149,7 +149,7 @@
 /// Has a bulk job wait for `waits` behind a full worker, then a more urgent one come; returns whose task starts first
 /// when capacity becomes free.
 fn first_after(waits: Millis) -> u64 {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 8);
     b.submit(1, spec(vec![wide(1, 8)]));
     b.commit();
@@ -159,14 +159,14 @@
     b.commit();
     let until = b.now + waits;
     while b.now < until {
-        b.pass(Millis(50));
+        b.advance(Millis(50));
         b.report("w1", vec![row(task(1, 0, 0), 1)], vec![]);
     }
     b.submit_mid(3, spec(vec![StepSpec { estimate: Millis(10_000), ..wide(1, 8) }]));
     b.commit();
     b.report("w1", vec![], vec![end(1, task(1, 0, 0), 1, EndKind::Done)]);
     b.commit();
-    b.pass(Millis(50));
+    b.advance(Millis(50));
     b.starts()[1].1.task.step.job.0
 }
 
--- a/components/dispatch/tests/schedules.rs
+++ b/components/dispatch/tests/schedules.rs
@@ -5,34 +5,34 @@
 mod common;
 
 use clock::Millis;
-use common::world::World;
+use common::random_simulation::RandomSimulation;
 use rstest::rstest;
 
 const SEEDS: u64 = 300;
 const STEPS: usize = 250;
 
-fn play(mut world: World) {
+fn drive(mut world: RandomSimulation) {
     for _ in 0..STEPS {
         world.step();
     }
     // In the end every job that can be done is done, once no limit forbids it.
     world.lift_limits();
     world.workers.values_mut().for_each(|w| w.silent = false);
-    let lasting = world.bench.dispatcher.replicated().jobs().iter();
+    let lasting = world.harness.dispatcher.replicated().jobs().iter();
     let lasting: Vec<_> =
         lasting.filter(|(_, j)| j.spec.is_long_running()).map(|(id, _)| *id).collect();
     for id in lasting {
         world.cancel(id);
     }
     for _ in 0..400 {
-        world.bench.commit();
+        world.harness.commit();
         world.perform();
         world.finish_some();
-        world.pass(Millis(100));
+        world.advance(Millis(100));
         world.perform();
     }
-    world.bench.commit();
-    for (id, job) in world.bench.committed.jobs() {
+    world.harness.commit();
+    for (id, job) in world.harness.committed.jobs() {
         assert!(
             job.state.is_final(),
             "{id} is {:?} after all faults have ended: {job:#?}",
@@ -42,11 +42,11 @@
 }
 
 #[rstest]
-#[case::without_organisations(World::new)]
-#[case::with_organisations(World::with_organisations)]
-fn promises_hold_on_random_schedules(#[case] world: fn(u64) -> World) {
+#[case::without_organisations(RandomSimulation::new)]
+#[case::with_organisations(RandomSimulation::with_organisations)]
+fn promises_hold_on_random_schedules(#[case] world: fn(u64) -> RandomSimulation) {
     for seed in 0..SEEDS {
-        let played = std::panic::catch_unwind(|| play(world(seed)));
+        let played = std::panic::catch_unwind(|| drive(world(seed)));
         assert!(played.is_ok(), "seed {seed}");
     }
 }
--- a/components/dispatch/tests/silence.rs
+++ b/components/dispatch/tests/silence.rs
@@ -3,15 +3,15 @@
 mod common;
 
 use clock::Millis;
-use common::{Bench, SILENT, job, spec, step, task, worker};
+use common::{Harness, NO_ANSWER, job, spec, step, task, worker};
 use dispatch::StartOrder;
 use workload::WorkerId;
 
 const WORKERS: usize = 12;
 
 /// Returns two zones of twelve workers each, whose names begin with that of their zone.
-fn two_zones() -> Bench {
-    let mut b = Bench::new("");
+fn two_zones() -> Harness {
+    let mut b = Harness::new("");
     for n in 0..WORKERS {
         b.join_in("a", &format!("a{n}"), 8);
         b.join_in("b", &format!("b{n}"), 8);
@@ -19,7 +19,7 @@
     b
 }
 
-fn starts_of(b: &Bench, id: u64) -> Vec<(WorkerId, StartOrder)> {
+fn starts_of(b: &Harness, id: u64) -> Vec<(WorkerId, StartOrder)> {
     b.starts().into_iter().filter(|(_, o)| o.task.step.job == job(id)).collect()
 }
 
@@ -28,21 +28,21 @@
 }
 
 /// Leaves the starts on workers whose names begin with `silent` unanswered, and answers the others.
-fn answer_but(b: &mut Bench, starts: &[(WorkerId, StartOrder)], silent: &str) {
+fn answer_but(b: &mut Harness, starts: &[(WorkerId, StartOrder)], silent: &str) {
     for (w, o) in starts {
-        let result = if w.0.starts_with(silent) { Err(SILENT()) } else { Ok(()) };
+        let result = if w.0.starts_with(silent) { Err(NO_ANSWER()) } else { Ok(()) };
         b.started(&w.0, o.task, o.run, result);
     }
 }
 
 #[test]
 fn a_worker_that_left_an_order_unanswered_gets_nothing_new_until_it_is_heard() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 8);
     b.join("w2", 4);
     b.submit(1, spec(vec![step(1)]));
     b.commit();
-    b.started("w1", task(1, 0, 0), 1, Err(SILENT()));
+    b.started("w1", task(1, 0, 0), 1, Err(NO_ANSWER()));
     b.submit(2, spec(vec![step(1)]));
     b.commit();
     assert_eq!(starts_of(&b, 2).first().map(|(w, _)| w.clone()), Some(worker("w2")));
@@ -62,7 +62,7 @@
     let before = b.starts();
     assert!(in_zone(&before, "a") >= 3 && in_zone(&before, "b") >= 3, "both zones are in use");
     answer_but(&mut b, &before, "a");
-    b.pass(Millis(1));
+    b.advance(Millis(1));
     for id in 11..=16 {
         b.submit(id, spec(vec![step(4)]));
         b.commit();
@@ -83,13 +83,13 @@
     let before = b.starts();
     answer_but(&mut b, &before, "a1");
     for n in 0..3 {
-        b.renewal_fails(&format!("a{n}"), SILENT());
+        b.renewal_fails(&format!("a{n}"), NO_ANSWER());
     }
-    b.pass(Millis(2_100));
+    b.advance(Millis(2_100));
     for n in 3..WORKERS {
         b.report(&format!("a{n}"), vec![], vec![]);
     }
-    b.pass(Millis(1));
+    b.advance(Millis(1));
     b.submit(2, spec(vec![step(60)]));
     b.commit();
     assert!(in_zone(&starts_of(&b, 2), "a") > 0);
@@ -102,7 +102,7 @@
     b.commit();
     let before = b.starts();
     answer_but(&mut b, &before[..24], "");
-    b.pass(Millis(1));
+    b.advance(Millis(1));
     for n in 0..WORKERS {
         b.report(&format!("a{n}"), vec![], vec![]);
     }
--- a/components/dispatch/tests/spread.rs
+++ b/components/dispatch/tests/spread.rs
@@ -4,12 +4,12 @@
 
 use std::collections::BTreeSet;
 
-use common::{Bench, job, spec, step};
+use common::{Harness, job, spec, step};
 use workload::StepSpec;
 
 /// Returns three zones of two workers each, whose names begin with that of their zone.
-fn three_zones() -> Bench {
-    let mut b = Bench::new("");
+fn three_zones() -> Harness {
+    let mut b = Harness::new("");
     for zone in ["a", "b", "c"] {
         b.join_in(zone, &format!("{zone}1"), 8);
         b.join_in(zone, &format!("{zone}2"), 8);
@@ -18,7 +18,7 @@
 }
 
 /// Returns the zones in which tasks of a job were started.
-fn zones_of(b: &Bench, id: u64) -> BTreeSet<char> {
+fn zones_of(b: &Harness, id: u64) -> BTreeSet<char> {
     let starts = b.starts();
     let own = starts.iter().filter(|(_, order)| order.task.step.job == job(id));
     own.filter_map(|(worker, _)| worker.0.chars().next()).collect()
--- a/components/dispatch/tests/starvation.rs
+++ b/components/dispatch/tests/starvation.rs
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 
 use clock::Millis;
-use common::{Bench, news, row, spec, step, task};
+use common::{Harness, announcement, row, spec, step, task};
 use dispatch::{AdviceRequest, RunStatus};
 use model::Size;
 use rstest::rstest;
@@ -34,11 +34,11 @@
 
 /// A dispatcher whose calls for advice and starts are answered, and whose runs never end.
 struct Fleet {
-    bench: Bench,
+    harness: Harness,
     workers: Vec<String>,
     running: BTreeMap<WorkerId, Vec<RunStatus>>,
     /// How many of the calls for advice and of the starts were processed.
-    asks_seen: usize,
+    advice_requests_seen: usize,
     starts_seen: usize,
     under_way: Vec<(Millis, AdviceRequest)>,
     report_at: Millis,
@@ -48,14 +48,14 @@
 
 impl Fleet {
     fn new(config: &str, callers: usize) -> Fleet {
-        let mut bench = Bench::new(config);
+        let mut harness = Harness::new(config);
         let names: Vec<String> = (0..callers).map(|i| format!("e{i}")).collect();
-        bench.helpers(&names.iter().map(String::as_str).collect::<Vec<_>>());
+        harness.set_advice_callers(&names.iter().map(String::as_str).collect::<Vec<_>>());
         Fleet {
-            bench,
+            harness,
             workers: Vec::new(),
             running: BTreeMap::new(),
-            asks_seen: 0,
+            advice_requests_seen: 0,
             starts_seen: 0,
             under_way: Vec::new(),
             report_at: Millis::ZERO,
@@ -67,64 +67,65 @@
     fn join(&mut self, label: &str, count: usize, capacity: Size) {
         for _ in 0..count {
             let name = format!("{label}-{}", self.workers.len());
-            let mut news = news(&name, 1);
-            news.info.capacity = capacity;
-            news.info.labels = vec![label.into()];
-            self.bench.join_as(news);
+            let mut announcement = announcement(&name, 1);
+            announcement.info.capacity = capacity;
+            announcement.info.labels = vec![label.into()];
+            self.harness.join_as(announcement);
             self.workers.push(name);
         }
     }
 
-    fn pass(&mut self, span: Millis) {
-        let until = self.bench.now + span;
-        while self.bench.now < until {
-            self.bench.pass(Millis(10));
+    fn advance(&mut self, span: Millis) {
+        let until = self.harness.now + span;
+        while self.harness.now < until {
+            self.harness.advance(Millis(10));
             self.take_starts();
-            self.answer_asks();
-            if self.bench.now >= self.report_at {
-                self.report_at = self.bench.now + REPORT;
+            self.answer_advice_requests();
+            if self.harness.now >= self.report_at {
+                self.report_at = self.harness.now + REPORT;
                 self.report();
             }
         }
     }
 
     fn take_starts(&mut self) {
-        for (worker, order) in self.bench.starts().split_off(self.starts_seen) {
+        for (worker, order) in self.harness.starts().split_off(self.starts_seen) {
             self.starts_seen += 1;
-            self.bench.started(&worker.0, order.task, order.run, Ok(()));
+            self.harness.started(&worker.0, order.task, order.run, Ok(()));
             self.running.entry(worker).or_default().push(row(order.task, order.run));
         }
     }
 
     /// Allows every worker that was asked about.
-    fn answer_asks(&mut self) {
-        let asks = self.bench.asks(None).split_off(self.asks_seen);
-        self.asks_seen += asks.len();
-        let now = self.bench.now;
+    fn answer_advice_requests(&mut self) {
+        let advice_requests =
+            self.harness.advice_requests(None).split_off(self.advice_requests_seen);
+        self.advice_requests_seen += advice_requests.len();
+        let now = self.harness.now;
         let longer = |a: &AdviceRequest| Millis(a.id % self.call_steps * CALL_STEP);
         let until = |a: &AdviceRequest| now + CALL + longer(a);
-        self.under_way.extend(asks.into_iter().map(|a| (until(&a), a)));
+        self.under_way.extend(advice_requests.into_iter().map(|a| (until(&a), a)));
         let due = |(at, _): &(Millis, AdviceRequest)| *at <= now;
         let (due, rest) = std::mem::take(&mut self.under_way).into_iter().partition(due);
         self.under_way = rest;
         let due: Vec<(Millis, AdviceRequest)> = due;
         for (_, ask) in due {
-            let names = Bench::names(&ask.workers);
+            let names = Harness::names(&ask.workers);
             let names: Vec<&str> = names.iter().map(|n| &**n).collect();
-            self.bench.advise(&ask, &names);
+            self.harness.answer_advice(&ask, &names);
         }
     }
 
     fn report(&mut self) {
         for name in &self.workers {
             let rows = self.running.get(&common::worker(name)).cloned().unwrap_or_default();
-            self.bench.report(name, rows, vec![]);
+            self.harness.report(name, rows, vec![]);
         }
-        self.bench.commit();
+        self.harness.commit();
     }
 
     fn has_started(&self, job: u64) -> bool {
-        self.bench.starts().iter().any(|(_, order)| order.task == task(job, 0, 0))
+        self.harness.starts().iter().any(|(_, order)| order.task == task(job, 0, 0))
     }
 }
 
@@ -140,13 +141,13 @@
     f.join("full", 4, whole);
     f.join("free", 8, whole);
     for id in 1..=40 {
-        f.bench.submit_mid(id, spec(vec![lengthy("full", whole)]));
+        f.harness.submit_mid(id, spec(vec![lengthy("full", whole)]));
     }
-    f.pass(Millis(8_000));
+    f.advance(Millis(8_000));
     let started = (1..=40).filter(|id| f.has_started(*id)).count();
     assert_eq!(started, 4, "the others wait for capacity");
-    f.bench.submit_bulk(99, spec(vec![lengthy("free", Size::new(4_000, 4_000, 0))]));
-    f.pass(Millis(2_000));
+    f.harness.submit_bulk(99, spec(vec![lengthy("free", Size::new(4_000, 4_000, 0))]));
+    f.advance(Millis(2_000));
     assert!(f.has_started(99), "a free call and its answer take less than a second");
 }
 
@@ -158,10 +159,10 @@
     f.join("full", 2, whole);
     f.join("free", 2, whole);
     for id in 1..=300 {
-        f.bench.submit_mid(id, spec(vec![lengthy("full", whole)]));
+        f.harness.submit_mid(id, spec(vec![lengthy("full", whole)]));
     }
-    f.bench.submit_bulk(999, spec(vec![lengthy("free", Size::new(4_000, 4_000, 0))]));
-    f.pass(Millis(1_000));
+    f.harness.submit_bulk(999, spec(vec![lengthy("free", Size::new(4_000, 4_000, 0))]));
+    f.advance(Millis(1_000));
     assert!(f.has_started(999));
 }
 
@@ -174,12 +175,12 @@
         spec: "text".into(),
         steps: vec![step(1)],
         rounds: 300,
-        first_due: f.bench.moment().wall + Millis(60_000),
+        first_due: f.harness.moment().wall + Millis(60_000),
         interval: Millis(60_000),
     };
-    f.bench.submit(1, Arc::new(timed));
-    f.bench.submit(2, spec(vec![step(1)]));
-    f.pass(Millis(100));
+    f.harness.submit(1, Arc::new(timed));
+    f.harness.submit(2, spec(vec![step(1)]));
+    f.advance(Millis(100));
     assert!(f.has_started(2));
     assert!(!f.has_started(1));
 }
@@ -193,13 +194,13 @@
     let mut f = Fleet::new("", 0);
     f.join("full", 2, whole);
     f.join("other", 1, whole);
-    f.bench.submit_bulk(1, spec(vec![lengthy("other", part)]));
+    f.harness.submit_bulk(1, spec(vec![lengthy("other", part)]));
     for id in 2..=40 {
-        f.bench.submit_mid(id, spec(vec![lengthy("full", whole)]));
+        f.harness.submit_mid(id, spec(vec![lengthy("full", whole)]));
     }
-    f.bench.submit_bulk(50, spec(vec![lengthy("other", whole)]));
-    f.bench.submit_bulk(51, spec(vec![lengthy("other", part)]));
-    f.pass(Millis(1_000));
+    f.harness.submit_bulk(50, spec(vec![lengthy("other", whole)]));
+    f.harness.submit_bulk(51, spec(vec![lengthy("other", part)]));
+    f.advance(Millis(1_000));
     assert!(f.has_started(1) && !f.has_started(50));
     assert!(!f.has_started(51), "it would take the capacity that the earlier task waits for");
 }
@@ -214,11 +215,11 @@
     f.join("free", 2, whole);
     let gang = StepSpec { count: 4, gang: true, ..lengthy("few", whole) };
     for id in 1..=40 {
-        f.bench.submit_mid(id, spec(vec![gang.clone()]));
+        f.harness.submit_mid(id, spec(vec![gang.clone()]));
     }
-    f.pass(Millis(8_000));
-    f.bench.submit_bulk(99, spec(vec![lengthy("free", Size::new(4_000, 4_000, 0))]));
-    f.pass(Millis(2_000));
+    f.advance(Millis(8_000));
+    f.harness.submit_bulk(99, spec(vec![lengthy("free", Size::new(4_000, 4_000, 0))]));
+    f.advance(Millis(2_000));
     assert!(f.has_started(99));
 }
 
@@ -230,11 +231,11 @@
     let mut f = Fleet::new("advice, long", 6);
     f.join("full", 4, whole);
     for id in 1..=40 {
-        f.bench.submit_mid(id, spec(vec![lengthy("full", whole)]));
+        f.harness.submit_mid(id, spec(vec![lengthy("full", whole)]));
     }
-    f.pass(Millis(8_000));
+    f.advance(Millis(8_000));
     f.join("full", 1, whole);
-    f.pass(Millis(2_000));
+    f.advance(Millis(2_000));
     let started = (1..=40).filter(|id| f.has_started(*id)).count();
     assert_eq!(started, 5);
 }
@@ -254,14 +255,14 @@
     f.join("full", 4, whole);
     f.join("free", 8, whole);
     for id in 1..=4 {
-        f.bench.submit_mid(id, spec(vec![lengthy("full", whole)]));
+        f.harness.submit_mid(id, spec(vec![lengthy("full", whole)]));
     }
-    f.pass(Millis(4_000));
+    f.advance(Millis(4_000));
     for id in 5..=190 {
-        f.bench.submit_mid(id, spec(vec![lengthy("full", whole)]));
+        f.harness.submit_mid(id, spec(vec![lengthy("full", whole)]));
     }
-    f.bench.submit_bulk(999, spec(vec![lengthy("free", Size::new(4_000, 4_000, 0))]));
-    f.pass(Millis(2_500));
+    f.harness.submit_bulk(999, spec(vec![lengthy("free", Size::new(4_000, 4_000, 0))]));
+    f.advance(Millis(2_500));
     assert!(f.has_started(999));
 }
 
@@ -274,14 +275,14 @@
     let mut f = Fleet::new("", 0);
     f.join("some", 20, whole);
     for id in 1..=20 {
-        f.bench.submit_bulk(id, spec(vec![lengthy("some", small)]));
+        f.harness.submit_bulk(id, spec(vec![lengthy("some", small)]));
     }
-    f.pass(Millis(500));
+    f.advance(Millis(500));
     for id in 21..=40 {
-        f.bench.submit_mid(id, spec(vec![lengthy("some", whole)]));
+        f.harness.submit_mid(id, spec(vec![lengthy("some", whole)]));
     }
-    f.bench.submit_bulk(99, spec(vec![lengthy("some", small)]));
-    f.pass(Millis(1_000));
+    f.harness.submit_bulk(99, spec(vec![lengthy("some", small)]));
+    f.advance(Millis(1_000));
     assert!((1..=20).all(|id| f.has_started(id)));
     assert!(f.has_started(99), "an eighth of the capacity is in use");
 }
@@ -296,10 +297,10 @@
     f.join("full", 4, whole);
     f.join("free", 8, whole);
     for id in 1..=100 {
-        f.bench.submit_mid(id, spec(vec![lengthy("full", whole)]));
+        f.harness.submit_mid(id, spec(vec![lengthy("full", whole)]));
     }
-    f.pass(Millis(8_000));
-    f.bench.submit_bulk(999, spec(vec![lengthy("free", Size::new(4_000, 4_000, 0))]));
-    f.pass(Millis(3_000));
+    f.advance(Millis(8_000));
+    f.harness.submit_bulk(999, spec(vec![lengthy("free", Size::new(4_000, 4_000, 0))]));
+    f.advance(Millis(3_000));
     assert!(f.has_started(999), "a free call and its answer take less than a second");
 }
--- a/components/dispatch/tests/stragglers.rs
+++ b/components/dispatch/tests/stragglers.rs
@@ -3,13 +3,13 @@
 mod common;
 
 use clock::Millis;
-use common::{Bench, row, spec, step, task, worker};
+use common::{Harness, row, spec, step, task, worker};
 use dispatch::RunStatus;
 use workload::{StepSpec, TaskKey};
 
 /// Returns a dispatcher with three workers that run one task of a step each and have capacity for one more.
-fn three_workers(spec_: StepSpec) -> Bench {
-    let mut b = Bench::new("");
+fn three_workers(spec_: StepSpec) -> Harness {
+    let mut b = Harness::new("");
     for name in ["w1", "w2", "w3"] {
         b.join(name, 2);
     }
@@ -26,11 +26,11 @@
 }
 
 /// Reports every 300 ms: the run on `slow` progresses by `by` percent each time, the others by 15 percent.
-fn run_on(b: &mut Bench, slow: &str, by: u32, reports: u32) {
+fn run_on(b: &mut Harness, slow: &str, by: u32, reports: u32) {
     let placed: Vec<(String, TaskKey)> =
         b.starts().iter().map(|(w, s)| (w.to_string(), s.task)).collect();
     for n in 1..=reports {
-        b.pass(Millis(300));
+        b.advance(Millis(300));
         for (on, key) in &placed {
             let percent = if on == slow { by * n } else { 15 * n };
             b.report(on, vec![at(*key, percent)], vec![]);
@@ -96,7 +96,7 @@
     let (slow, key, run) = b.stops()[0].clone();
     b.stopped(&slow.0, key, run);
     // The worker is no longer deprioritised for being slow, and no lease has run out.
-    b.pass(Millis(2_600));
+    b.advance(Millis(2_600));
     b.report("w2", vec![], vec![common::end(1, key, run, workload::EndKind::Stopped)]);
     b.commit();
     let (on, order) = b.starts().last().cloned().unwrap();
