--- a/components/dispatch/tests/terms.rs
+++ b/components/dispatch/tests/terms.rs
@@ -9,15 +9,15 @@
 mod common;
 
 use clock::Millis;
-use common::{Bench, spec, step, worker};
+use common::{Harness, spec, step, worker};
 use dispatch::Input;
 
 /// Returns a leader of two workers whose service asks for advice, in some term, with a job for which a call for
 /// advice has just left.
-fn leader(term: u64) -> Bench {
-    let before = Bench::new("advice").committed;
-    let mut b = Bench::take_over(before, term, Millis(1_000_000));
-    b.helpers(&["e1"]);
+fn leader(term: u64) -> Harness {
+    let before = Harness::new("advice").committed;
+    let mut b = Harness::take_over(before, term, Millis(1_000_000));
+    b.set_advice_callers(&["e1"]);
     b.join("w1", 8);
     b.join("w2", 8);
     b.submit(term, spec(vec![step(2)]));
@@ -28,7 +28,7 @@
 #[test]
 fn no_two_terms_number_their_calls_for_advice_alike() {
     let (first, second) = (leader(1), leader(2));
-    let numbers = |b: &Bench| b.asks(None).iter().map(|a| a.id).collect::<Vec<_>>();
+    let numbers = |b: &Harness| b.advice_requests(None).iter().map(|a| a.id).collect::<Vec<_>>();
     let (first, second) = (numbers(&first), numbers(&second));
     assert!(!first.is_empty() && !second.is_empty());
     assert!(first.iter().all(|n| !second.contains(n)), "{first:?} {second:?}");
@@ -36,11 +36,11 @@
 
 #[test]
 fn a_late_answer_to_an_earlier_term_bars_nobody() {
-    let asked_before = leader(1).asks(None)[0].id;
+    let asked_before = leader(1).advice_requests(None)[0].id;
     let mut b = leader(2);
     let nobody = Some(Vec::new());
     b.feed(Input::Advised { id: asked_before, valid: Some(Millis(2_000)), allowed: nobody });
-    let ask = b.asks(None)[0].clone();
+    let ask = b.advice_requests(None)[0].clone();
     let allowed = ask.workers.iter().map(|w| (w.clone(), "ticket".into())).collect();
     b.feed(Input::Advised { id: ask.id, valid: Some(Millis(2_000)), allowed: Some(allowed) });
     b.commit();
--- a/components/dispatch/tests/wait_lines.rs
+++ b/components/dispatch/tests/wait_lines.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use clock::Millis;
-use common::{Bench, SILENT, end, job, news, row, spec, step, task, worker};
+use common::{Harness, NO_ANSWER, announcement, end, job, row, spec, step, task, worker};
 use dispatch::{
     Action, CallError, Input, Refusal, RunStatus, ServiceFigures, Verb, WorkerAnnouncement,
 };
@@ -26,7 +26,7 @@
 }
 
 /// Takes the log lines about waiting tasks out of the actions: the subject of each, and its details.
-fn take_lines(b: &mut Bench) -> Vec<(String, String)> {
+fn take_lines(b: &mut Harness) -> Vec<(String, String)> {
     let line = |a: Action| match a {
         Action::LogEvent { kind, subject, details } if kind.name == "task_waits" => {
             Some((subject, details))
@@ -37,11 +37,11 @@
 }
 
 /// Lets time pass with a tick every 50 ms; returns the log lines that were written.
-fn lines_over(b: &mut Bench, span: Millis) -> Vec<(Millis, String, String)> {
+fn lines_over(b: &mut Harness, span: Millis) -> Vec<(Millis, String, String)> {
     let until = b.now + span;
     let mut lines = Vec::new();
     while b.now < until {
-        b.pass(Millis(50));
+        b.advance(Millis(50));
         let now = b.now;
         lines.extend(take_lines(b).into_iter().map(|(about, rest)| (now, about, rest)));
     }
@@ -49,7 +49,7 @@
 }
 
 /// Has a worker run and fail a task of each of two jobs.
-fn fail_twice(b: &mut Bench, name: &str, ids: [u64; 2]) {
+fn fail_twice(b: &mut Harness, name: &str, ids: [u64; 2]) {
     for (number, id) in (1..).zip(ids) {
         b.submit(id, spec(vec![step(1)]));
         b.commit();
@@ -60,16 +60,16 @@
     }
 }
 
-fn leaves(b: &mut Bench, name: &str, cores: u64) {
+fn leaves(b: &mut Harness, name: &str, cores: u64) {
     b.feed(Input::Announcement(WorkerAnnouncement {
         leaving: true,
         number: 2,
-        ..news(name, cores)
+        ..announcement(name, cores)
     }));
 }
 
 /// Has a worker join and run a long-running task that fills it.
-fn join_full(b: &mut Bench, name: &str, id: u64) {
+fn join_full(b: &mut Harness, name: &str, id: u64) {
     b.join(name, 1);
     b.submit(id, spec(vec![lasting(1)]));
     b.commit();
@@ -78,7 +78,7 @@
 
 #[test]
 fn a_line_is_written_after_two_seconds_and_every_five_from_then_on() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.submit(1, spec(vec![lasting(3)]));
     b.commit();
     let began = b.now;
@@ -92,16 +92,16 @@
 
 #[test]
 fn the_line_names_the_task_that_has_waited_longest() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 1);
     b.submit(1, spec(vec![lasting(2)]));
     b.commit();
     b.started("w1", task(1, 0, 0), 1, Ok(()));
-    b.pass(Millis(1_000));
+    b.advance(Millis(1_000));
     leaves(&mut b, "w1", 1);
     b.report("w1", vec![], vec![end(1, task(1, 0, 0), 1, EndKind::Failed)]);
     b.commit();
-    b.pass(Millis(1_000));
+    b.advance(Millis(1_000));
     let lines = take_lines(&mut b);
     let wanted = "since_ms=2000 tasks=2 held_back=0 looked=yes workers=1 fit=0 leaving=1";
     assert_eq!(lines, [(task(1, 0, 1).to_string(), wanted.to_string())]);
@@ -109,7 +109,7 @@
 
 #[test]
 fn what_is_placed_in_time_or_does_not_last_or_is_over_has_no_line() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.submit(1, spec(vec![step(3)]));
     b.submit(2, spec(vec![large(16)]));
     b.submit(3, spec(vec![lasting(1)]));
@@ -123,7 +123,7 @@
 
 #[test]
 fn no_more_than_five_lines_are_written_in_a_second_and_each_step_has_its_turn() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     for id in 1..=40 {
         b.submit(id, spec(vec![lasting(2)]));
     }
@@ -144,7 +144,7 @@
 
 #[test]
 fn a_step_that_waits_again_is_not_told_of_more_often() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.submit(1, spec(vec![lasting(1)]));
     b.commit();
     assert_eq!(lines_over(&mut b, Millis(2_000)).len(), 1);
@@ -162,7 +162,7 @@
 /// leave, too, and the one that leaves is full.
 #[test]
 fn workers_are_counted_once_by_the_first_cause() {
-    let mut b = Bench::new("other");
+    let mut b = Harness::new("other");
     b.join("resting", 1);
     b.submit(5, spec(vec![step(1)]));
     b.commit();
@@ -170,28 +170,28 @@
     join_full(&mut b, "leaving", 11);
     leaves(&mut b, "leaving", 1);
     b.join("silent", 1);
-    b.renewal_fails("silent", SILENT());
-    let unlabelled = WorkerInfo { labels: vec!["b".into()], ..news("bare", 1).info };
-    let small = WorkerInfo { capacity: Size::new(500, 500, 0), ..news("small", 1).info };
-    let elsewhere = WorkerInfo { service: "other".into(), ..news("elsewhere", 1).info };
+    b.renewal_fails("silent", NO_ANSWER());
+    let unlabelled = WorkerInfo { labels: vec!["b".into()], ..announcement("bare", 1).info };
+    let small = WorkerInfo { capacity: Size::new(500, 500, 0), ..announcement("small", 1).info };
+    let elsewhere = WorkerInfo { service: "other".into(), ..announcement("elsewhere", 1).info };
     for info in [unlabelled, small, elsewhere] {
         let name = info.id.clone();
-        b.join_as(WorkerAnnouncement { info: info.clone(), ..news(&name.0, 1) });
+        b.join_as(WorkerAnnouncement { info: info.clone(), ..announcement(&name.0, 1) });
         b.feed(Input::Announcement(WorkerAnnouncement {
             info,
             leaving: true,
             number: 2,
-            ..news(&name.0, 1)
+            ..announcement(&name.0, 1)
         }));
     }
     b.submit(6, spec(vec![StepSpec { constraint: Some("a".into()), ..lasting(1) }]));
     b.commit();
-    b.pass(Millis(1_990));
+    b.advance(Millis(1_990));
     let refused = Err(CallError::Refused(Refusal::Unhealthy));
     b.started("resting", task(5, 0, 0), 1, refused);
     b.call_path(&format!("/q/{}", job(5)), Verb::Cancel);
     b.commit();
-    b.pass(Millis(10));
+    b.advance(Millis(10));
     let (_, rest) = take_lines(&mut b).remove(0);
     let wanted = "workers=6 fit=0 unlabelled=1 too_small=1 leaving=1 silent=1 resting=1 full=1";
     assert!(rest.ends_with(wanted), "{rest}");
@@ -199,7 +199,7 @@
 
 #[test]
 fn a_slow_worker_does_not_count_as_set_aside() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     ["w1", "w2", "w3"].into_iter().for_each(|name| b.join(name, 2));
     b.submit(1, spec(vec![step(3)]));
     b.commit();
@@ -209,7 +209,7 @@
     b.submit(2, spec(vec![large(2)]));
     b.commit();
     for n in 1..=7 {
-        b.pass(Millis(300));
+        b.advance(Millis(300));
         for (on, task) in &placed {
             let percent = if *on == worker("w2") { 2 * n } else { 13 * n };
             b.report(&on.0, vec![RunStatus { percent, ..row(*task, 1) }], vec![]);
@@ -224,7 +224,7 @@
 
 #[test]
 fn room_that_is_kept_for_others_is_told_apart_from_none() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 8);
     b.submit(1, spec(vec![StepSpec { size: Size::new(4_000, 1_000, 0), ..step(1) }]));
     b.commit();
@@ -233,7 +233,7 @@
     b.commit();
     b.submit_bulk(3, spec(vec![lasting(1)]));
     b.commit();
-    b.pass(Millis(2_000));
+    b.advance(Millis(2_000));
     let mut lines = take_lines(&mut b);
     lines.sort();
     let wanted = [(2, "full"), (3, "kept")].map(|(id, cause)| {
@@ -246,14 +246,14 @@
 
 #[test]
 fn workers_with_siblings_or_with_fillers_are_told_apart() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.join("w1", 8);
     b.submit(1, spec(vec![StepSpec { max_per_worker: 1, ..lasting(2) }]));
     b.submit(2, spec(vec![StepSpec { filler: true, ..lasting(1) }]));
     b.commit();
     b.submit(3, spec(vec![StepSpec { target_latency: Millis(100), ..lasting(1) }]));
     b.commit();
-    b.pass(Millis(2_000));
+    b.advance(Millis(2_000));
     let lines = take_lines(&mut b);
     let causes = |id: u64, index: u32| {
         let about = task(id, 0, index).to_string();
@@ -268,17 +268,17 @@
 /// time.
 #[test]
 fn leave_to_run_is_told_by_what_is_known_of_it() {
-    let mut b = Bench::new("advice");
-    b.helpers(&["e1"]);
+    let mut b = Harness::new("advice");
+    b.set_advice_callers(&["e1"]);
     ["w1", "w2", "w3"].into_iter().for_each(|name| b.join(name, 1));
     b.submit(1, spec(vec![StepSpec { gang: true, ..lasting(3) }]));
     b.commit();
-    let ask = b.asks(None).first().cloned().expect("a call for advice");
+    let ask = b.advice_requests(None).first().cloned().expect("a call for advice");
     assert_eq!(ask.workers.len(), 3);
-    b.advise(&ask, &["w1"]);
-    b.pass(Millis(1_900));
+    b.answer_advice(&ask, &["w1"]);
+    b.advance(Millis(1_900));
     b.join("w4", 1);
-    b.pass(Millis(99));
+    b.advance(Millis(99));
     let (_, rest) = take_lines(&mut b).remove(0);
     assert!(rest.ends_with("workers=4 fit=0 not_allowed=2 unknown=1 no_ticket=1"), "{rest}");
 }
@@ -286,7 +286,7 @@
 /// A gang of three has a worker left on which it failed, and one that nothing excludes.
 #[test]
 fn a_worker_on_which_the_task_has_failed_is_told_apart_from_one_that_fits() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     ["w1", "w2", "w3"].into_iter().for_each(|name| b.join(name, 1));
     b.submit(1, spec(vec![StepSpec { gang: true, ..lasting(3) }]));
     b.commit();
@@ -298,7 +298,7 @@
         b.report(&on.0, vec![], vec![end(1, order.task, 1, kind)]);
     }
     b.commit();
-    b.pass(Millis(2_000));
+    b.advance(Millis(2_000));
     let (about, rest) = take_lines(&mut b).pop().expect("a line is written");
     assert_eq!(about, task(1, 0, 0).to_string());
     assert!(rest.ends_with("workers=3 fit=1 leaving=1 avoided=1"), "{rest}");
@@ -333,8 +333,8 @@
 
 #[test]
 fn tasks_that_are_held_back_as_suspects_are_counted() {
-    let mut b = Bench::take_over(crashed(&[(1, "q", 0, 5, 1)]), 2, Millis(1_000_000));
-    b.pass(Millis(2_000));
+    let mut b = Harness::take_over(crashed(&[(1, "q", 0, 5, 1)]), 2, Millis(1_000_000));
+    b.advance(Millis(2_000));
     let (_, rest) = take_lines(&mut b).remove(0);
     assert_eq!(rest, "since_ms=2000 tasks=5 held_back=4 looked=yes workers=0 fit=0");
 }
@@ -343,12 +343,12 @@
 #[test]
 fn a_worker_with_a_young_suspect_is_told_of_a_task_that_may_not_run_beside_it() {
     let jobs = [(1, "q", 0, 1, 1), (2, "bulk", 2, 1, 2)];
-    let mut b = Bench::take_over(crashed(&jobs), 2, Millis(1_000_000));
-    b.pass(Millis(1_500));
+    let mut b = Harness::take_over(crashed(&jobs), 2, Millis(1_000_000));
+    b.advance(Millis(1_500));
     b.join("w1", 2);
     b.commit();
     assert_eq!(b.starts().len(), 1);
-    b.pass(Millis(499));
+    b.advance(Millis(499));
     let (_, rest) = take_lines(&mut b).remove(0);
     assert!(rest.ends_with("looked=yes workers=1 fit=0 suspects=1"), "{rest}");
 }
@@ -357,10 +357,10 @@
 /// comes first.
 #[test]
 fn a_step_that_stands_behind_hundreds_of_others_is_looked_at() {
-    let mut b = Bench::new("");
+    let mut b = Harness::new("");
     b.submit_bulk(1_000, spec(vec![lasting(1)]));
     b.commit();
-    b.pass(Millis(1_000));
+    b.advance(Millis(1_000));
     for id in 1..=600 {
         b.submit(id, spec(vec![step(1)]));
     }
@@ -374,7 +374,7 @@
 
 #[test]
 fn figures_tell_of_workers_set_aside_and_of_tasks_that_wait_by_service() {
-    let mut b = Bench::new("other");
+    let mut b = Harness::new("other");
     b.join("w1", 1);
     fail_twice(&mut b, "w1", [1, 2]);
     b.submit(3, spec(vec![lasting(2)]));
@@ -388,7 +388,7 @@
     let wanted: BTreeMap<Name, ServiceFigures> =
         wanted.into_iter().map(|(service, f)| (service.into(), f)).collect();
     assert_eq!(b.dispatcher.service_figures(), wanted);
-    b.pass(Millis(4_000));
+    b.advance(Millis(4_000));
     b.commit();
     let figures = b.dispatcher.figures();
     assert_eq!(
