--- a/components/workload/src/command.rs
+++ b/components/workload/src/command.rs
@@ -1,4 +1,4 @@
-//! What the log agrees on, one entry after the other.
+//! The commands that the log commits.
 
 use std::sync::Arc;
 
@@ -13,24 +13,24 @@
 /// How a run ended on its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndKind {
-    /// It did its work.
+    /// It completed its work.
     Done,
-    /// It failed, by its own fault or its worker's.
+    /// It failed, through its own fault or that of its worker.
     Failed,
-    /// It was told to stop.
+    /// It was ordered to stop.
     Stopped,
-    /// Its lease ran out.
+    /// Its lease expired.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// The other members of its gang did not come.
+    /// The other members of its gang did not start.
     Alone,
 }
 
-/// One end, as a worker lists it.
+/// The end of a run, as its worker reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
-    /// Its number on that worker.
+    /// Its sequence number on that worker.
     pub number: u64,
     /// The task.
     pub task: TaskKey,
@@ -38,16 +38,16 @@
     pub run: u32,
     /// How it ended.
     pub kind: EndKind,
-    /// Its progress; empty if none was kept.
+    /// Its last checkpoint; empty if none was saved.
     pub checkpoint: Arc<str>,
 }
 
-/// A change of the [`crate::ReplicatedState`].
+/// A change to the [`crate::ReplicatedState`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Puts a configuration in force if its version is higher than the one held.
+    /// Puts a configuration in force if its version is higher than the current one.
     Configure(Document),
-    /// Accepts a job unless it is known.
+    /// Accepts a job unless its id is known already.
     Submit {
         /// Its id.
         id: JobId,
@@ -59,7 +59,7 @@
         service: Name,
         /// The queue's priority at that time.
         priority: u8,
-        /// The queue's limit of failed runs at that time.
+        /// The queue's limit on failed runs of a task at that time.
         max_attempts: u16,
         /// What is to run.
         spec: Arc<JobSpec>,
@@ -68,105 +68,105 @@
     Cancel {
         /// Its id.
         id: JobId,
-        /// When, by the leader's wall clock.
+        /// The time, by the leader's wall clock.
         at: Millis,
     },
     /// A worker announced itself for the first time.
     WorkerJoined(WorkerInfo),
-    /// A life of a worker that was leaving or ran nothing is over, with all that it ran.
+    /// A worker incarnation has ended with all its runs, after it announced that it was leaving or while it ran nothing.
     WorkerGone {
         /// The worker.
         worker: WorkerId,
-        /// The newest progress known of its runs.
+        /// The latest known checkpoints of its runs.
         saved: Vec<(TaskKey, Arc<str>)>,
     },
-    /// A worker's lease has surely run out, with all that it ran.
+    /// A worker's lease has certainly expired, and its runs with it.
     Lapsed {
         /// The worker.
         worker: WorkerId,
-        /// The newest progress known of its runs.
+        /// The latest known checkpoints of its runs.
         saved: Vec<(TaskKey, Arc<str>)>,
     },
-    /// Runs are about to be ordered from a worker.
+    /// Runs are about to be started on a worker.
     Started {
         /// The worker.
         worker: WorkerId,
-        /// The tasks and the numbers of their runs.
+        /// The tasks with their run numbers.
         runs: Vec<(TaskKey, u32)>,
     },
-    /// Runs surely never began, nor will they.
+    /// Runs certainly never started and never will.
     NotStarted {
         /// The worker.
         worker: WorkerId,
-        /// The tasks and the numbers of their runs.
+        /// The tasks with their run numbers.
         runs: Vec<(TaskKey, u32)>,
     },
     /// Runs have ended.
     Ended {
         /// The worker.
         worker: WorkerId,
-        /// The ends, rising by number.
+        /// The ends, in ascending order of their numbers.
         ends: Vec<End>,
-        /// When, by the leader's wall clock.
+        /// The time, by the leader's wall clock.
         at: Millis,
     },
-    /// Forgets jobs that ended before a time and of which nothing runs.
+    /// Removes jobs that ended before a time and have no runs left.
     Forget {
         /// The time, by the leader's wall clock.
         before: Millis,
     },
-    /// A life of a worker is over that had not said it would leave, with all that it ran.
+    /// A worker incarnation has ended with all its runs without having announced that it was leaving.
     WorkerCrashed {
         /// The worker.
         worker: WorkerId,
-        /// The newest progress known of its runs.
+        /// The latest known checkpoints of its runs.
         saved: Vec<(TaskKey, Arc<str>)>,
-        /// The runs that it may have crashed under, beside those that had lapsed on it before.
+        /// The runs that may have crashed it, besides those that had lapsed on it before.
         crash_suspects: CrashSuspects,
-        /// When, by the leader's wall clock.
+        /// The time, by the leader's wall clock.
         at: Millis,
     },
-    /// The runs that are about to lapse on a worker may have ended it; whether they have is known once it is
-    /// heard of again.
+    /// The runs that are about to lapse on a worker may have crashed it; this is resolved at the next contact with the
+    /// worker.
     CrashSuspected {
         /// The worker.
         worker: WorkerId,
         /// The runs.
         crash_suspects: CrashSuspects,
     },
-    /// A worker that runs nothing was not heard of for so long that it counts as lost.
+    /// A worker that runs nothing has been out of contact for so long that it counts as lost.
     WorkerLost {
         /// The worker.
         worker: WorkerId,
-        /// When, by the leader's wall clock.
+        /// The time, by the leader's wall clock.
         at: Millis,
     },
-    /// A worker on which runs have lapsed was heard of again: it had only been out of reach.
+    /// A worker on which runs have lapsed is in contact again: it had only been unreachable.
     WorkerSurvived {
         /// The worker.
         worker: WorkerId,
     },
-    /// A worker has more or less than it had.
+    /// The capacity of a worker has changed.
     Resized {
         /// The worker.
         worker: WorkerId,
-        /// What it has now.
+        /// Its new capacity.
         capacity: Size,
     },
-    /// Tasks under which workers had crashed have run for long enough to be cleared.
+    /// Crash suspects have run for long enough to be cleared.
     SuspectsCleared {
-        /// The tasks; of gangs the first one.
+        /// The tasks; for a gang, its first task.
         tasks: Vec<TaskKey>,
     },
-    /// Fixes which organisation a job belongs to that is about to be accepted.
+    /// Assigns a job that is about to be accepted to an organisation.
     AssignOwner {
         /// The job's id.
         job: JobId,
         /// The organisation.
         organisation: Name,
     },
-    /// A worker is about to count as crashed among so many that chance may have hit its runs. What counts against them all
-    /// the same is in the blame of the crash.
+    /// A worker is about to count as crashed among so many others that coincidence may explain the loss of its runs. The
+    /// runs that are counted regardless are among the suspects of the crash.
     LossesUncertain {
         /// The runs.
         losses: Vec<UncertainLoss>,
--- a/components/workload/src/ids.rs
+++ b/components/workload/src/ids.rs
@@ -1,4 +1,4 @@
-//! The names of jobs, steps, tasks and workers.
+//! The identifiers of jobs, steps, tasks and workers.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The number that a caller chose for its job.
+/// The id of a job, chosen by its caller.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -18,30 +18,30 @@
     }
 }
 
-/// The text is not sixteen hexadecimal digits.
+/// The error for text that is not sixteen hexadecimal digits, or not a valid key built on such an id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NotAJobId;
+pub struct InvalidJobId;
 
 impl FromStr for JobId {
-    type Err = NotAJobId;
+    type Err = InvalidJobId;
 
-    fn from_str(text: &str) -> Result<JobId, NotAJobId> {
+    fn from_str(text: &str) -> Result<JobId, InvalidJobId> {
         let digits = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
         if !digits {
-            return Err(NotAJobId);
+            return Err(InvalidJobId);
         }
-        u64::from_str_radix(text, 16).map(JobId).map_err(|_| NotAJobId)
+        u64::from_str_radix(text, 16).map(JobId).map_err(|_| InvalidJobId)
     }
 }
 
-/// One step of one round of a job.
+/// The key of one step in one round of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StepKey {
     /// The job.
     pub job: JobId,
-    /// The round, counted from zero; a job that does not repeat has only that one.
+    /// The round, counted from zero; a job that does not repeat has only round zero.
     pub round: u32,
-    /// The step's place in the job.
+    /// The index of the step in the job.
     pub step: u32,
 }
 
@@ -51,12 +51,12 @@
     }
 }
 
-/// One task of a step.
+/// The key of one task of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskKey {
     /// Its step.
     pub step: StepKey,
-    /// The task's place in the step.
+    /// The index of the task in the step.
     pub index: u32,
 }
 
@@ -67,66 +67,66 @@
 }
 
 impl FromStr for TaskKey {
-    type Err = NotAJobId;
+    type Err = InvalidJobId;
 
-    fn from_str(text: &str) -> Result<TaskKey, NotAJobId> {
+    fn from_str(text: &str) -> Result<TaskKey, InvalidJobId> {
         let mut parts = text.split('.');
         let job = parts.next().unwrap_or_default().parse()?;
-        let mut number = || parts.next().and_then(|p| p.parse().ok()).ok_or(NotAJobId);
+        let mut number = || parts.next().and_then(|p| p.parse().ok()).ok_or(InvalidJobId);
         let (round, step, index) = (number()?, number()?, number()?);
         match parts.next() {
             None => Ok(TaskKey { step: StepKey { job, round, step }, index }),
-            Some(_) => Err(NotAJobId),
+            Some(_) => Err(InvalidJobId),
         }
     }
 }
 
-/// What stands between a worker's name and its incarnation.
+/// The separator between the name of a worker and its incarnation.
 const SEPARATOR: char = '@';
 
-/// One life of a worker.
+/// The id of a worker incarnation.
 ///
-/// A worker that starts again may bear the name that it had, and tells its incarnation then. Both together are the id, as
-/// all that is kept of a worker holds for one life only: the numbers of its ends, its clock, its tickets and its runs.
-/// Where workers tell no incarnation, each life bears a name of its own, and the id is that name.
+/// A worker that restarts may keep its name and then announces a new incarnation. The id consists of both, since all
+/// state of a worker is valid for one incarnation only: the numbers of its ends, its clock, its tickets and its runs.
+/// If workers announce no incarnation, each start uses a new name, and the id is that name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct WorkerId(pub Arc<str>);
 
 impl WorkerId {
-    /// Gives the life of a worker by its incarnation, a number that no other life under this name has. Lives have no
-    /// order by it: the worker takes it from its wall clock.
+    /// Creates an id from a name and an incarnation, a number that is unique under this name. Incarnations are not
+    /// ordered by it, since a worker takes it from its wall clock, which may jump back.
     pub fn with_incarnation(name: &str, incarnation: Option<u64>) -> WorkerId {
         match incarnation {
             Some(incarnation) => WorkerId(format!("{name}{SEPARATOR}{incarnation}").into()),
-            // The last sign of its kind is ours.
+            // A separator is appended, as the last one in an id always ends the name.
             None if name.contains(SEPARATOR) => WorkerId(format!("{name}{SEPARATOR}").into()),
             None => WorkerId::from(name),
         }
     }
 
-    /// Gives the name that the worker bears.
+    /// Returns the name of the worker.
     pub fn name(&self) -> &str {
         self.0.rsplit_once(SEPARATOR).map_or(&self.0, |(name, _)| name)
     }
 
-    /// Gives the incarnation; nothing where the worker tells none.
+    /// Returns the incarnation, or `None` if the worker announces none.
     pub fn incarnation(&self) -> Option<u64> {
         self.0.rsplit_once(SEPARATOR)?.1.parse().ok()
     }
 
-    /// Gives the id that a worker of this name has as long as it tells no incarnation.
+    /// Returns the id of a worker with this name that announces no incarnation.
     pub fn without_incarnation(&self) -> WorkerId {
         WorkerId::with_incarnation(self.name(), None)
     }
 
-    /// Gives what the ids of all lives under this name begin with that have an incarnation.
+    /// Returns the prefix of the ids of all incarnations with this name, without those that announce none.
     pub fn incarnation_prefix(&self) -> WorkerId {
         WorkerId(format!("{}{SEPARATOR}", self.name()).into())
     }
 
-    /// Tells whether this id may mean a life: it is that life's own, or it tells the name alone.
-    pub fn may_refer_to(&self, life: &WorkerId) -> bool {
-        self == life || (self.incarnation().is_none() && self.name() == life.name())
+    /// Returns whether this id may refer to an incarnation: it is equal to its id, or consists of its name alone.
+    pub fn may_refer_to(&self, other: &WorkerId) -> bool {
+        self == other || (self.incarnation().is_none() && self.name() == other.name())
     }
 }
 
--- a/components/workload/src/job.rs
+++ b/components/workload/src/job.rs
@@ -1,4 +1,4 @@
-//! A job's state: its rounds, steps and tasks.
+//! The state of a job: its rounds, steps and tasks.
 
 use std::sync::Arc;
 
@@ -8,80 +8,80 @@
 
 use crate::{JobSpec, WorkerId};
 
-/// How far a job is.
+/// The stage that a job has reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// None of its tasks was started.
+    /// None of its tasks has been started.
     Queued,
-    /// A task was started.
+    /// At least one task has been started.
     Running,
-    /// Every task has done its work.
+    /// Every task is done.
     Completed,
-    /// A task has failed as often as it may.
+    /// The job was given up: a task reached its limit of failed runs or of worker crashes.
     Failed,
     /// Its caller cancelled it.
     Cancelled,
 }
 
 impl JobState {
-    /// Tells whether nothing of the job will be started any more.
+    /// Returns whether no task of the job will be started any more.
     pub fn is_final(self) -> bool {
         matches!(self, JobState::Completed | JobState::Failed | JobState::Cancelled)
     }
 }
 
-/// One task.
+/// The state of one task.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TaskState {
-    /// The number of its last run; zero before the first.
+    /// The number of its last run; zero before the first run.
     pub run: u32,
-    /// Where that run may be alive.
+    /// The worker on which that run may be alive.
     pub at: Option<WorkerId>,
-    /// Whether a run of it has done its work.
+    /// Whether one of its runs has completed the work.
     pub done: bool,
-    /// How many of its runs have failed.
+    /// The number of its runs that have failed.
     pub failed: u16,
-    /// Its progress; empty if none was kept.
+    /// Its last checkpoint; empty if none was saved.
     pub checkpoint: Arc<str>,
 }
 
-/// One step of a round.
+/// The state of one step of a round.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StepState {
     /// The tasks.
     pub tasks: Vec<TaskState>,
-    /// How many of them are done.
+    /// The number of tasks that are done.
     pub done: u32,
-    /// How many of them may be alive somewhere.
+    /// The number of tasks with a run that may be alive.
     pub placed: u32,
-    /// Of a gang, the last run that was counted as failed, so that it counts once.
+    /// For a gang, the last run that was counted as failed, so that it counts once for all members.
     pub last_failed_run: u32,
 }
 
 impl StepState {
-    /// Makes a step with `count` tasks that have not begun.
+    /// Creates a step with `count` tasks that have not started.
     pub fn new(count: u32) -> StepState {
         StepState { tasks: vec![TaskState::default(); count as usize], ..StepState::default() }
     }
 
-    /// Tells whether every task is done.
+    /// Returns whether every task is done.
     pub fn is_done(&self) -> bool {
         self.done as usize == self.tasks.len()
     }
 
-    /// Gives the places of the tasks that wait for a worker.
+    /// Returns the indices of the tasks that wait for a worker.
     pub fn waiting(&self) -> impl Iterator<Item = u32> + '_ {
         let waits = |t: &TaskState| !t.done && t.at.is_none();
         (0..).zip(&self.tasks).filter(move |(_, t)| waits(t)).map(|(i, _)| i)
     }
 
-    /// Gives the highest run number of any task.
+    /// Returns the highest run number of any task.
     pub fn last_run(&self) -> u32 {
         self.tasks.iter().map(|t| t.run).max().unwrap_or(0)
     }
 }
 
-/// One pass through the steps.
+/// The state of one pass through the steps of a job.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Round {
     /// The steps.
@@ -89,49 +89,49 @@
 }
 
 impl Round {
-    /// Makes a round of a job in which nothing has begun.
+    /// Creates a round of a job in which nothing has started.
     pub fn of(spec: &JobSpec) -> Round {
         Round { steps: spec.steps.iter().map(|s| StepState::new(s.count)).collect() }
     }
 
-    /// Tells whether the steps that `step` depends on are done.
+    /// Returns whether all steps in `depends_on` are done.
     pub fn is_open(&self, depends_on: &[u32]) -> bool {
         depends_on.iter().all(|d| self.steps[*d as usize].is_done())
     }
 }
 
-/// A job.
+/// A job that the cell has accepted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// Its place in the order of acceptance.
+    /// Its position in the order of acceptance.
     pub order: u64,
-    /// When it was accepted, by the leader's wall clock.
+    /// The time at which it was accepted, by the leader's wall clock.
     pub accepted_at: Millis,
-    /// When it ended, by the leader's wall clock.
+    /// The time at which it ended, by the leader's wall clock.
     pub ended_at: Option<Millis>,
     /// Its queue.
     pub queue: Name,
-    /// The service whose workers run it.
+    /// The service whose workers run its tasks.
     pub service: Name,
-    /// Its priority; zero comes first.
+    /// Its priority; zero is the most urgent.
     pub priority: u8,
-    /// How often a task may fail.
+    /// The number of failed runs of a task after which the job fails.
     pub max_attempts: u16,
-    /// What is to run.
+    /// The specification that its caller submitted.
     pub spec: Arc<JobSpec>,
-    /// How far it is.
+    /// The stage that it has reached.
     pub state: JobState,
     /// The passes through its steps.
     pub rounds: Vec<Round>,
 }
 
 impl Job {
-    /// Tells whether every task of every round is done.
+    /// Returns whether every task of every round is done.
     pub fn is_done(&self) -> bool {
         self.rounds.iter().all(|r| r.steps.iter().all(StepState::is_done))
     }
 
-    /// Gives how many runs may be alive.
+    /// Returns the number of runs that may be alive.
     pub fn placed(&self) -> u32 {
         self.rounds.iter().flat_map(|r| &r.steps).map(|s| s.placed).sum()
     }
--- a/components/workload/src/lib.rs
+++ b/components/workload/src/lib.rs
@@ -1,8 +1,8 @@
-//! Jobs made of steps, as the cell's log agrees on them.
+//! Jobs, their steps and their workers, as committed to the cell's log.
 //!
-//! [`ReplicatedState`] is the replicated state machine: it takes in [`Command`]s in the order of the log and
-//! holds every job, every run of a task, and the room that each worker has given out. It decides
-//! nothing; docs/design/platform.md says who does.
+//! [`ReplicatedState`] is the replicated state machine: it applies [`Command`]s in log order and holds
+//! every job, every run of a task and the capacity allocated on each worker. It makes no decisions;
+//! docs/design/platform.md describes the component that does.
 
 mod command;
 mod crashes;
--- a/components/workload/src/organisation.rs
+++ b/components/workload/src/organisation.rs
@@ -1,7 +1,7 @@
-//! Organisations: who may hand in jobs, by which keys, and how much each may have running.
+//! Organisations: who may submit jobs, with which API keys, and how much each may have running.
 //!
-//! Keys are secrets. Only their digests are held beside the document that names them, and no output shows more
-//! than a fingerprint. docs/design/organisations.md tells what a key allows.
+//! Keys are secrets. Outside the document that lists them only their digests are kept, and no output shows more
+//! than a fingerprint. docs/design/organisations.md describes what a key allows.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
@@ -10,22 +10,22 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// How many bytes of a digest a [`KeyDigest`] shows.
+/// The number of digest bytes that a [`KeyDigest`] shows as its fingerprint.
 const FINGERPRINT_BYTES: usize = 4;
 
-/// The SHA-256 digest of a key. Digests are compared in place of keys, so that the time of a comparison tells
-/// nothing of a key.
+/// The SHA-256 digest of a key. Digests are compared instead of keys, so that the duration of a comparison
+/// reveals nothing about a key.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// Gives the digest of a key.
+    /// Returns the digest of a key.
     pub fn of(key: &str) -> KeyDigest {
         KeyDigest(Sha256::digest(key.as_bytes()).into())
     }
 }
 
-/// Shows a short fingerprint.
+/// Writes a short fingerprint of the digest.
 impl fmt::Display for KeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0[..FINGERPRINT_BYTES].iter().try_for_each(|byte| write!(f, "{byte:02x}"))
@@ -38,37 +38,37 @@
     }
 }
 
-/// What a call shows of the organisation that it is made for.
+/// The credential with which a call identifies its organisation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Credential {
-    /// Nothing.
+    /// The call carries no credential.
     #[default]
     None,
-    /// Something that no key can be read from.
+    /// The credential cannot be parsed as a key.
     Malformed,
-    /// A key.
+    /// The digest of the key that the call carries.
     Key(KeyDigest),
 }
 
-/// One organisation.
+/// An organisation with its weight and its limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Organisation {
     /// Its name.
     pub name: Name,
-    /// Its share of the room when room is short, against the weights of the others.
+    /// Its share of the capacity when capacity is scarce, relative to the weights of the others.
     pub weight: f64,
-    /// The most that it may have running over all workers; zero in a dimension sets no limit there.
+    /// The maximum capacity that its runs may take over all workers; zero in a dimension sets no limit there.
     pub limit: Size,
 }
 
 impl Organisation {
-    /// Tells whether so much running is more than the limit allows, as it may be once the limit is lowered.
+    /// Returns whether the capacity in use exceeds the limit, which happens when the limit is lowered.
     pub fn is_over_limit(&self, used: &Size) -> bool {
         let over = |d: &Dimension| self.limit.get(*d) > 0 && used.get(*d) > self.limit.get(*d);
         Dimension::ALL.iter().any(over)
     }
 
-    /// Gives how many more tasks of a size may run beside what the organisation has running.
+    /// Returns how many more tasks of a size may run in addition to the capacity in use.
     pub fn tasks_within_limit(&self, used: &Size, task: &Size) -> u64 {
         let within = |d: &Dimension| match (self.limit.get(*d), task.get(*d)) {
             (0, _) | (_, 0) => u64::MAX,
@@ -78,7 +78,7 @@
     }
 }
 
-/// The organisations of a configuration.
+/// The organisations of a configuration, by name and by key.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Organisations {
     by_name: BTreeMap<Name, Organisation>,
@@ -86,28 +86,28 @@
 }
 
 impl Organisations {
-    /// Adds an organisation; tells whether none of that name was there.
+    /// Adds an organisation; returns whether its name was new.
     pub fn add(&mut self, organisation: Organisation) -> bool {
         self.by_name.insert(organisation.name.clone(), organisation).is_none()
     }
 
-    /// Gives a key to an organisation; tells whether no other one holds it.
+    /// Assigns a key to an organisation; returns whether no other organisation holds the key.
     pub fn add_key(&mut self, key: KeyDigest, organisation: &Name) -> bool {
         let holder = self.by_key.entry(key).or_insert_with(|| organisation.clone());
         holder == organisation
     }
 
-    /// Gives an organisation.
+    /// Returns an organisation by its name.
     pub fn get(&self, name: &str) -> Option<&Organisation> {
         self.by_name.get(name)
     }
 
-    /// Gives all organisations, by name.
+    /// Returns all organisations, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = &Organisation> {
         self.by_name.values()
     }
 
-    /// Gives the organisation that a credential stands for.
+    /// Returns the organisation that a credential belongs to.
     pub fn holder(&self, credential: &Credential) -> Option<&Name> {
         match credential {
             Credential::Key(key) => self.by_key.get(key),
--- a/components/workload/src/replicated_state.rs
+++ b/components/workload/src/replicated_state.rs
@@ -1,4 +1,4 @@
-//! The state machine.
+//! The replicated state machine.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,19 +14,19 @@
     TaskState, UncertainLosses, Worker, WorkerId,
 };
 
-/// A step with tasks that wait for a worker and that nothing earlier holds back, in the order in
-/// which such steps are served.
+/// A step whose dependencies are done and that has tasks waiting for a worker. The ordering is the
+/// order in which such steps are served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct OpenStep {
-    /// The job's priority; zero comes first.
+    /// The job's priority; zero is the most urgent.
     pub priority: u8,
-    /// The job's place in the order of acceptance.
+    /// The job's position in the order of acceptance.
     pub order: u64,
     /// The step.
     pub key: StepKey,
 }
 
-/// Every job, run and worker that the log tells of.
+/// Every job, run and worker recorded in the log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReplicatedState {
     document: Document,
@@ -34,27 +34,30 @@
     workers: BTreeMap<WorkerId, Worker>,
     open: BTreeSet<OpenStep>,
     accepted: u64,
-    /// Written behind the rest, so that books from before there were any are still read.
+    /// Encoded after the fields above, so that snapshots written before this field existed still decode.
     #[serde(skip)]
     crashes: CrashLedger,
-    /// Written behind those, for the same reason.
+    /// Encoded after `crashes`, for the same reason.
     #[serde(skip)]
     ownership: Ownership,
-    /// Written behind that, for the same reason, if there are any.
+    /// Encoded after `ownership`, for the same reason, and only if it is not empty.
     #[serde(skip)]
     uncertain_losses: UncertainLosses,
 }
 
 impl ReplicatedState {
-    /// Reads a book back from a snapshot; no bytes give an empty one.
+    /// Decodes the state from a snapshot; an empty slice yields the empty state.
     ///
     /// # Errors
-    /// [`Error::Decode`] if the bytes are no book.
+    /// Returns [`Error::Decode`] if the bytes are not a valid snapshot.
     pub fn decode(bytes: &[u8]) -> Result<ReplicatedState> {
         if bytes.is_empty() {
             return Ok(ReplicatedState::default());
         }
-        let fault = |e: postcard::Error| Error::Decode { what: "a book", reason: e.to_string() };
+        let fault = |e: postcard::Error| Error::Decode {
+            what: "the replicated state",
+            reason: e.to_string(),
+        };
         let (mut replicated, rest) =
             postcard::take_from_bytes::<ReplicatedState>(bytes).map_err(fault)?;
         if rest.is_empty() {
@@ -73,12 +76,15 @@
         Ok(replicated)
     }
 
-    /// Writes the book for a snapshot.
+    /// Encodes the state for a snapshot.
     ///
     /// # Errors
-    /// [`Error::Decode`] if it cannot be written.
+    /// Returns [`Error::Decode`] if the state cannot be encoded.
     pub fn encode(&self) -> Result<Vec<u8>> {
-        let fault = |e: postcard::Error| Error::Decode { what: "a book", reason: e.to_string() };
+        let fault = |e: postcard::Error| Error::Decode {
+            what: "the replicated state",
+            reason: e.to_string(),
+        };
         let bytes = postcard::to_allocvec(self).map_err(fault)?;
         let bytes = postcard::to_extend(&self.crashes, bytes).map_err(fault)?;
         let bytes = postcard::to_extend(&self.ownership, bytes).map_err(fault)?;
@@ -88,72 +94,72 @@
         }
     }
 
-    /// Gives the configuration in force.
+    /// Returns the configuration in force.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// Gives the jobs.
+    /// Returns all jobs.
     pub fn jobs(&self) -> &BTreeMap<JobId, Job> {
         &self.jobs
     }
 
-    /// Gives a job.
+    /// Returns a job.
     pub fn job(&self, id: JobId) -> Option<&Job> {
         self.jobs.get(&id)
     }
 
-    /// Gives the workers.
+    /// Returns all workers.
     pub fn workers(&self) -> &BTreeMap<WorkerId, Worker> {
         &self.workers
     }
 
-    /// Gives a worker.
+    /// Returns a worker.
     pub fn worker(&self, id: &WorkerId) -> Option<&Worker> {
         self.workers.get(id)
     }
 
-    /// Gives the steps that have waiting tasks, the most urgent first.
+    /// Returns the steps that have waiting tasks, most urgent first.
     pub fn open(&self) -> &BTreeSet<OpenStep> {
         &self.open
     }
 
-    /// Gives what a step asks for.
+    /// Returns the specification of a step.
     pub fn step_spec(&self, key: &StepKey) -> Option<&StepSpec> {
         self.jobs.get(&key.job)?.spec.steps.get(key.step as usize)
     }
 
-    /// Gives how far a step is.
+    /// Returns the progress of a step.
     pub fn step(&self, key: &StepKey) -> Option<&StepState> {
         self.jobs.get(&key.job)?.rounds.get(key.round as usize)?.steps.get(key.step as usize)
     }
 
-    /// Gives how far a task is.
+    /// Returns the progress of a task.
     pub fn task(&self, key: &TaskKey) -> Option<&TaskState> {
         self.step(&key.step)?.tasks.get(key.index as usize)
     }
 
-    /// Gives what is held against tasks under which workers have crashed.
+    /// Returns the crashes attributed to tasks.
     pub fn crashes(&self) -> &CrashLedger {
         &self.crashes
     }
 
-    /// Gives the losses that were not counted against tasks, since chance may have hit them.
+    /// Returns the lost runs that were not counted against their tasks, as coincidence may explain them.
     pub fn uncertain_losses(&self) -> &UncertainLosses {
         &self.uncertain_losses
     }
 
-    /// Tells whether a task must wait until more is known of workers that it may have crashed.
+    /// Returns whether a task must wait until it is known whether workers that lost contact have crashed under it.
     pub fn must_wait(&self, suspect: &TaskKey) -> bool {
         self.crashes.must_wait_with(suspect, self.uncertain_losses.losses(suspect))
     }
 
-    /// Gives which organisations jobs belong to, and what these have running.
+    /// Returns which organisation each job belongs to, and what each organisation has running.
     pub fn ownership(&self) -> &Ownership {
         &self.ownership
     }
 
-    /// Gives the task by which the ledger of crashes holds a task: the first one of its gang, or itself.
+    /// Returns the key under which the crash ledger records a task: the first task of its gang, or the task itself.
     pub fn suspect_key(&self, task: &TaskKey) -> TaskKey {
         match self.step_spec(&task.step).is_some_and(|s| s.gang) {
             true => TaskKey { index: 0, ..*task },
@@ -161,21 +167,22 @@
         }
     }
 
-    /// Gives the jobs with runs on a worker, or with runs that have lapsed there while its fate is not known.
+    /// Returns the jobs with runs on a worker, or with runs whose lease lapsed there while it is unknown whether the
+    /// worker survived.
     pub fn jobs_on(&self, worker: &WorkerId) -> BTreeSet<JobId> {
         let runs = self.workers.get(worker).into_iter().flat_map(|w| w.runs.keys());
         let lapsed = self.crashes.lapsed_on(worker);
         runs.chain(lapsed).map(|task| task.step.job).collect()
     }
 
-    /// Tells whether a run should still be alive: its task is not done and its job goes on.
+    /// Returns whether a run should still be alive: its task is not done and its job has not ended.
     pub fn is_wanted(&self, key: &TaskKey, run: u32) -> bool {
-        let goes_on = self.jobs.get(&key.step.job).is_some_and(|j| !j.state.is_final());
-        goes_on && self.task(key).is_some_and(|t| t.run == run && t.at.is_some() && !t.done)
+        let is_active = self.jobs.get(&key.step.job).is_some_and(|j| !j.state.is_final());
+        is_active && self.task(key).is_some_and(|t| t.run == run && t.at.is_some() && !t.done)
     }
 
-    /// Takes in a command. Every member applies the same commands in the same order, so the outcome
-    /// depends on nothing else.
+    /// Applies a command. Every member applies the same commands in the same order, so the result must
+    /// depend on nothing but the command and the current state.
     pub fn apply(&mut self, command: &Command) {
         match command {
             Command::Configure(document) => {
@@ -205,20 +212,20 @@
                 self.workers.entry(info.id.clone()).or_insert_with(fresh);
             }
             Command::WorkerGone { worker, saved } => {
-                self.end_life(worker, saved);
+                self.end_incarnation(worker, saved);
             }
             Command::Lapsed { worker, saved } => self.release_all(worker, saved),
             Command::WorkerCrashed { worker, saved, crash_suspects, at } => {
-                let lapsed = self.end_life(worker, saved);
+                let lapsed = self.end_incarnation(worker, saved);
                 self.count_crash(&lapsed, *at);
-                self.count_crash(&self.by_suspects(crash_suspects), *at);
+                self.count_crash(&self.by_suspect_keys(crash_suspects), *at);
             }
-            Command::WorkerLost { worker, at } => self.lose(worker, *at),
+            Command::WorkerLost { worker, at } => self.remove_lost_worker(worker, *at),
             Command::CrashSuspected { worker, crash_suspects } => {
-                self.crashes.lapse(worker, self.by_suspects(crash_suspects));
+                self.crashes.record_lapse(worker, self.by_suspect_keys(crash_suspects));
             }
             Command::WorkerSurvived { worker } => {
-                self.crashes.settle(worker);
+                self.crashes.take_lapsed(worker);
             }
             Command::Resized { worker, capacity } => self.resize(worker, *capacity),
             Command::SuspectsCleared { tasks } => tasks.iter().for_each(|t| self.clear_suspect(t)),
@@ -226,7 +233,7 @@
                 runs.iter().for_each(|(task, run)| self.start(worker, task, *run));
             }
             Command::NotStarted { worker, runs } => {
-                runs.iter().for_each(|(task, run)| self.take_back(worker, task, *run));
+                runs.iter().for_each(|(task, run)| self.undo_start(worker, task, *run));
             }
             Command::Ended { worker, ends, at } => {
                 ends.iter().for_each(|end| self.end_run(worker, end, *at));
@@ -235,7 +242,7 @@
             Command::AssignOwner { job, .. } if self.jobs.contains_key(job) => {}
             Command::AssignOwner { job, organisation } => self.ownership.assign(*job, organisation),
             Command::LossesUncertain { losses } => {
-                losses.iter().for_each(|l| self.uncertain_losses.add(l))
+                losses.iter().for_each(|l| self.uncertain_losses.record(l))
             }
         }
     }
@@ -249,7 +256,7 @@
         self.accepted = job.order;
         let at = job.accepted_at;
         self.jobs.insert(id, job);
-        self.refresh(id, at);
+        self.update_open_steps(id, at);
     }
 
     fn forget(&mut self, before: Millis) {
@@ -268,35 +275,35 @@
 
     fn start(&mut self, worker: &WorkerId, key: &TaskKey, run: u32) {
         let Some(spec) = self.step_spec(&key.step) else { return };
-        let (room, size) = (spec.required_capacity(), spec.size);
+        let (required, size) = (spec.required_capacity(), spec.size);
         let Some(job) = self.jobs.get_mut(&key.step.job) else { return };
         let Some(step) = step_mut(job, &key.step) else { return };
         let Some(task) = step.tasks.get_mut(key.index as usize) else { return };
-        let Some(place) = self.workers.get_mut(worker) else { return };
+        let Some(host) = self.workers.get_mut(worker) else { return };
         debug_assert!(task.at.is_none(), "a task has one run at a time");
         task.at = Some(worker.clone());
         task.run = run;
         step.placed += 1;
-        place.used = place.used.plus(&room);
-        place.runs.insert(*key, run);
+        host.used = host.used.plus(&required);
+        host.runs.insert(*key, run);
         self.ownership.add_run(key.step.job, &size);
         if job.state == JobState::Queued {
             job.state = JobState::Running;
         }
-        self.refresh(key.step.job, Millis::ZERO);
+        self.update_open_steps(key.step.job, Millis::ZERO);
     }
 
-    /// Takes a run off its worker; tells whether it was there.
+    /// Removes a run from its worker and frees its capacity; returns whether the run was there.
     fn release(&mut self, worker: &WorkerId, key: &TaskKey, run: u32) -> bool {
         let spec = self.step_spec(&key.step);
-        let room = spec.map_or(Size::ZERO, StepSpec::required_capacity);
+        let required = spec.map_or(Size::ZERO, StepSpec::required_capacity);
         let size = spec.map_or(Size::ZERO, |s| s.size);
-        let Some(place) = self.workers.get_mut(worker) else { return false };
-        if place.runs.get(key) != Some(&run) {
+        let Some(host) = self.workers.get_mut(worker) else { return false };
+        if host.runs.get(key) != Some(&run) {
             return false;
         }
-        place.runs.remove(key);
-        place.used = place.used.minus(&room);
+        host.runs.remove(key);
+        host.used = host.used.minus(&required);
         self.ownership.remove_run(key.step.job, &size);
         let Some(job) = self.jobs.get_mut(&key.step.job) else { return true };
         let Some(step) = step_mut(job, &key.step) else { return true };
@@ -305,51 +312,55 @@
         true
     }
 
-    /// Takes a run that did not begin off its worker, so that its task waits again.
-    fn take_back(&mut self, worker: &WorkerId, key: &TaskKey, run: u32) {
+    /// Removes a run that never started from its worker, so that its task waits again.
+    fn undo_start(&mut self, worker: &WorkerId, key: &TaskKey, run: u32) {
         if self.release(worker, key, run) {
-            self.refresh(key.step.job, Millis::ZERO);
+            self.update_open_steps(key.step.job, Millis::ZERO);
         }
     }
 
-    /// Ends the life of a worker with all that ran there, and gives its runs that had lapsed.
-    fn end_life(&mut self, worker: &WorkerId, saved: &[(TaskKey, Arc<str>)]) -> CrashSuspects {
+    /// Removes a worker incarnation with all its runs, and returns the suspects among the runs that had lapsed there.
+    fn end_incarnation(
+        &mut self,
+        worker: &WorkerId,
+        saved: &[(TaskKey, Arc<str>)],
+    ) -> CrashSuspects {
         self.release_all(worker, saved);
         self.workers.remove(worker);
-        self.crashes.settle(worker)
+        self.crashes.take_lapsed(worker)
     }
 
-    /// Ends the life of a worker that was not heard of for so long that it counts as lost.
-    fn lose(&mut self, worker: &WorkerId, at: Millis) {
-        let lapsed = self.end_life(worker, &[]);
+    /// Removes a worker that has been out of contact for so long that it counts as lost.
+    fn remove_lost_worker(&mut self, worker: &WorkerId, at: Millis) {
+        let lapsed = self.end_incarnation(worker, &[]);
         match lapsed.silent_alone {
             true => self.count_crash(&lapsed, at),
-            // It may be cut off yet, so no task is given up for it.
-            false => lapsed.runs().for_each(|(task, run)| self.suspect_run(task, *run)),
+            // The worker may only be partitioned, so no task is given up for it.
+            false => lapsed.runs().for_each(|(task, run)| self.mark_suspect(task, *run)),
         }
     }
 
     fn release_all(&mut self, worker: &WorkerId, saved: &[(TaskKey, Arc<str>)]) {
-        let Some(place) = self.workers.get(worker) else { return };
-        let runs: Vec<(TaskKey, u32)> = place.runs.iter().map(|(k, r)| (*k, *r)).collect();
+        let Some(host) = self.workers.get(worker) else { return };
+        let runs: Vec<(TaskKey, u32)> = host.runs.iter().map(|(k, r)| (*k, *r)).collect();
         for (key, checkpoint) in saved {
-            self.save(key, checkpoint);
+            self.save_checkpoint(key, checkpoint);
         }
         for (key, run) in runs {
             self.release(worker, &key, run);
-            self.refresh(key.step.job, Millis::ZERO);
+            self.update_open_steps(key.step.job, Millis::ZERO);
         }
     }
 
-    /// Gives the same with each gang by its first task.
-    fn by_suspects(&self, crash_suspects: &CrashSuspects) -> CrashSuspects {
-        let by_suspect = |runs: &[(TaskKey, u32)]| {
+    /// Returns the same suspects with each task replaced by its suspect key, so that a gang counts once.
+    fn by_suspect_keys(&self, crash_suspects: &CrashSuspects) -> CrashSuspects {
+        let to_suspect_keys = |runs: &[(TaskKey, u32)]| {
             let runs: BTreeSet<_> =
                 runs.iter().map(|(t, run)| (self.suspect_key(t), *run)).collect();
             runs.into_iter().collect()
         };
         let (primary, secondary) =
-            (by_suspect(&crash_suspects.primary), by_suspect(&crash_suspects.secondary));
+            (to_suspect_keys(&crash_suspects.primary), to_suspect_keys(&crash_suspects.secondary));
         CrashSuspects {
             primary,
             secondary,
@@ -358,40 +369,46 @@
         }
     }
 
-    /// Counts a crash against the tasks that it may be the fault of.
+    /// Counts a crash against the tasks that may have caused it.
     fn count_crash(&mut self, crash_suspects: &CrashSuspects, at: Millis) {
-        let most = match crash_suspects.primary.len() {
+        let max_crashes = match crash_suspects.primary.len() {
             1 => MAX_CRASHES,
             _ => MAX_SHARED_CRASHES,
         };
         for (task, run) in &crash_suspects.primary {
-            self.crashed_under((task, *run), crash_suspects.primary_young, most, at);
+            self.count_task_crash((task, *run), crash_suspects.primary_young, max_crashes, at);
         }
         for (task, run) in &crash_suspects.secondary {
-            self.crashed_under((task, *run), false, MAX_TOTAL_CRASHES, at);
+            self.count_task_crash((task, *run), false, MAX_TOTAL_CRASHES, at);
         }
     }
 
-    /// Counts a crash against a task, and gives its job up once there are as many as `most`.
-    fn crashed_under(&mut self, (task, run): (&TaskKey, u32), young: bool, most: u16, at: Millis) {
-        if self.may_be_at_fault(task) && self.crashes.count(*task, run, young) >= most {
+    /// Counts a crash against a task, and fails its job once there are `max_crashes` of them.
+    fn count_task_crash(
+        &mut self,
+        (task, run): (&TaskKey, u32),
+        young: bool,
+        max_crashes: u16,
+        at: Millis,
+    ) {
+        if self.may_be_faulty(task) && self.crashes.record_crash(*task, run, young) >= max_crashes {
             self.end_job(task.step.job, JobState::Failed, at);
         }
     }
 
-    /// Suspects a task under which a worker may have crashed.
-    fn suspect_run(&mut self, task: &TaskKey, run: u32) {
-        if self.may_be_at_fault(task) && self.crashes.crashes(task) == 0 {
-            self.crashes.count(*task, run, false);
+    /// Marks a task under which a worker may have crashed as a suspect, unless a crash counts against it already.
+    fn mark_suspect(&mut self, task: &TaskKey, run: u32) {
+        if self.may_be_faulty(task) && self.crashes.crashes(task) == 0 {
+            self.crashes.record_crash(*task, run, false);
         }
     }
 
-    fn may_be_at_fault(&self, task: &TaskKey) -> bool {
-        let goes_on = self.jobs.get(&task.step.job).is_some_and(|j| !j.state.is_final());
-        goes_on && self.task(task).is_some_and(|t| !t.done)
+    fn may_be_faulty(&self, task: &TaskKey) -> bool {
+        let is_active = self.jobs.get(&task.step.job).is_some_and(|j| !j.state.is_final());
+        is_active && self.task(task).is_some_and(|t| !t.done)
     }
 
-    fn save(&mut self, key: &TaskKey, checkpoint: &Arc<str>) {
+    fn save_checkpoint(&mut self, key: &TaskKey, checkpoint: &Arc<str>) {
         if checkpoint.is_empty() {
             return;
         }
@@ -403,14 +420,14 @@
     }
 
     fn end_run(&mut self, worker: &WorkerId, end: &End, at: Millis) {
-        let Some(place) = self.workers.get_mut(worker) else { return };
-        if end.number <= place.last_end {
+        let Some(host) = self.workers.get_mut(worker) else { return };
+        if end.number <= host.last_end {
             return;
         }
-        place.last_end = end.number;
+        host.last_end = end.number;
         let current = self.release(worker, &end.task, end.run);
         if current {
-            self.save(&end.task, &end.checkpoint);
+            self.save_checkpoint(&end.task, &end.checkpoint);
         }
         match end.kind {
             EndKind::Done => {
@@ -420,20 +437,20 @@
             EndKind::Failed => self.task_failed(&end.task, end.run, at),
             EndKind::Stopped | EndKind::Lapsed | EndKind::Broken | EndKind::Alone => {}
         }
-        self.refresh(end.task.step.job, at);
+        self.update_open_steps(end.task.step.job, at);
     }
 
-    /// A run that was believed lost may have done its work all the same; its end counts.
+    /// Marks a task as done. This includes a run that was believed lost but completed after all.
     fn task_done(&mut self, key: &TaskKey, current: bool) {
         let Some(job) = self.jobs.get_mut(&key.step.job) else { return };
         let Some(spec) = job.spec.steps.get(key.step.step as usize) else { return };
-        let (gang, lasts) = (spec.gang, spec.long_running);
-        if lasts || (gang && !current) {
+        let (gang, long_running) = (spec.gang, spec.long_running);
+        if long_running || (gang && !current) {
             return;
         }
         let Some(step) = step_mut(job, &key.step) else { return };
         match gang {
-            // One member's end stands for all of them.
+            // A gang is done as soon as one member reports that it is done.
             true => step.tasks.iter_mut().for_each(|t| t.done = true),
             false => {
                 if let Some(task) = step.tasks.get_mut(key.index as usize) {
@@ -447,7 +464,7 @@
     fn task_failed(&mut self, key: &TaskKey, run: u32, at: Millis) {
         let Some(job) = self.jobs.get_mut(&key.step.job) else { return };
         let Some(spec) = job.spec.steps.get(key.step.step as usize) else { return };
-        let (gang, lasts, most) = (spec.gang, spec.long_running, job.max_attempts);
+        let (gang, long_running, max_attempts) = (spec.gang, spec.long_running, job.max_attempts);
         let Some(step) = step_mut(job, &key.step) else { return };
         let counted = gang && step.last_failed_run >= run;
         step.last_failed_run = step.last_failed_run.max(run);
@@ -456,7 +473,7 @@
         if !counted {
             task.failed = task.failed.saturating_add(1);
         }
-        if !lasts && !task.done && task.failed >= most {
+        if !long_running && !task.done && task.failed >= max_attempts {
             self.end_job(key.step.job, JobState::Failed, at);
         }
     }
@@ -468,11 +485,11 @@
         }
         job.state = state;
         job.ended_at = Some(at);
-        self.refresh(id, at);
+        self.update_open_steps(id, at);
     }
 
-    /// Brings the open steps of a job up to date, and ends it once all is done.
-    fn refresh(&mut self, id: JobId, at: Millis) {
+    /// Updates the open steps of a job, and completes the job once all its tasks are done.
+    fn update_open_steps(&mut self, id: JobId, at: Millis) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if !job.state.is_final() && job.is_done() {
             job.state = JobState::Completed;
@@ -484,7 +501,7 @@
                 let spec = &job.spec.steps[step as usize];
                 let key = StepKey { job: id, round, step };
                 let entry = OpenStep { priority, order, key };
-                // A gang waits until its last run is wholly gone.
+                // A gang is placed again only after every task of its previous run has ended.
                 let may_place = !spec.gang || s.placed == 0;
                 let waits = s.waiting().next().is_some();
                 let open =
--- a/components/workload/src/spec.rs
+++ b/components/workload/src/spec.rs
@@ -1,70 +1,70 @@
-//! What a caller asks for: a job, its steps and their tasks.
+//! The specification of a job as its caller submits it: its steps and their tasks.
 
 use clock::Millis;
 use errors::{Finding, Findings, Place};
 use model::{Name, Size};
 use serde::{Deserialize, Serialize};
 
-/// The largest `spec` text in bytes, as callers are told.
+/// The maximum length of the `spec` text in bytes, as documented for callers.
 pub const MAX_SPEC: usize = 4_000;
-/// The most tasks of one job over all its rounds. It bounds what one call can make the cell
-/// remember; the largest jobs seen have some hundred.
+/// The maximum number of tasks of one job over all its rounds. It bounds the memory that one call can
+/// take up in the cell; the largest jobs seen so far have a few hundred tasks.
 pub const MAX_TASKS: u64 = 100_000;
 
-/// A job as its caller described it.
+/// A job as its caller specified it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Handed to every task as it is.
+    /// Passed to every task unchanged.
     pub spec: Name,
-    /// The steps, which refer to each other by their place.
+    /// The steps, which refer to each other by their index.
     pub steps: Vec<StepSpec>,
-    /// How often the steps run; zero means once, as soon as possible.
+    /// The number of times the steps run; zero means once, as soon as possible.
     pub rounds: u32,
-    /// When the first round is due, by the wall clock.
+    /// The time at which the first round is due, by the wall clock.
     pub first_due: Millis,
     /// The time from one round to the next.
     pub interval: Millis,
 }
 
-/// One step: a number of like tasks.
+/// A step: a number of identical tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StepSpec {
-    /// How many tasks there are.
+    /// The number of tasks.
     pub count: u32,
-    /// What each of them takes.
+    /// The capacity that each task takes.
     pub size: Size,
-    /// About how long each runs.
+    /// The estimated run time of a task.
     pub estimate: Millis,
-    /// The earlier steps that must be done first.
+    /// The indices of the earlier steps that must be done first.
     pub depends_on: Vec<u32>,
-    /// Whether the tasks run only all together.
+    /// Whether the tasks must all run at the same time.
     pub gang: bool,
-    /// Whether spreading over racks makes the tasks slow.
+    /// Whether the tasks run slowly when they are spread over several racks.
     pub same_rack: bool,
-    /// A label that the worker must have.
+    /// The label that a worker must have.
     pub constraint: Option<Name>,
-    /// The rack near which the tasks run fast.
+    /// The rack in or near which the tasks run fastest.
     pub rack: Option<Name>,
-    /// The most tasks of the step on one worker; zero for no limit.
+    /// The maximum number of tasks of the step on one worker; zero for no limit.
     pub max_per_worker: u32,
-    /// Whether two copies of a task may run side by side.
+    /// Whether two copies of a task may run at the same time.
     pub speculative: bool,
     /// Whether the tasks run until the job is cancelled.
     pub long_running: bool,
-    /// Whether a stopped task can go on from where it was.
+    /// Whether a stopped task can resume from a checkpoint.
     pub checkpointing: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// The image that the tasks run; tasks with the same image behave alike.
     pub image: Name,
-    /// The answer time that a long-running task is to keep for its own users; zero for none.
+    /// The response time that a long-running task should meet for its own users; zero for none.
     pub target_latency: Millis,
-    /// Whether the tasks take only the processor time that others leave.
+    /// Whether the tasks use only the processor time that other tasks leave idle.
     pub filler: bool,
-    /// How many tasks may be away at once by our doing; `None` sets no limit.
+    /// The maximum number of tasks that the cell may disrupt at the same time; `None` sets no limit.
     pub max_unavailable: Option<u32>,
 }
 
 impl StepSpec {
-    /// Gives what a task takes out of a worker's room: a filler's processor time does not count.
+    /// Returns the capacity that a task takes on a worker. The processor time of a filler does not count.
     pub fn required_capacity(&self) -> Size {
         match self.filler {
             true => Size { cpu_milli: 0, ..self.size },
@@ -74,12 +74,12 @@
 }
 
 impl JobSpec {
-    /// Gives how many rounds there are.
+    /// Returns the number of rounds.
     pub fn round_count(&self) -> u32 {
         self.rounds.max(1)
     }
 
-    /// Gives when a round is due by the wall clock; zero if the job is not timed.
+    /// Returns the time at which a round is due, by the wall clock; zero if the job has no schedule.
     pub fn due(&self, round: u32) -> Millis {
         match self.rounds {
             0 => Millis::ZERO,
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Gives how long the longest chain of steps takes by the declared times, of those steps that
-    /// count.
+    /// Returns the length of the critical path by the declared run times, where only the steps accepted
+    /// by `counts` take any time.
     pub fn critical_path(&self, counts: impl Fn(usize) -> bool) -> Millis {
         let mut ends: Vec<Millis> = Vec::with_capacity(self.steps.len());
         for (i, step) in self.steps.iter().enumerate() {
@@ -99,15 +99,15 @@
         ends.into_iter().max().unwrap_or_default()
     }
 
-    /// Tells whether any step runs until the job is cancelled.
+    /// Returns whether any step runs until the job is cancelled.
     pub fn is_long_running(&self) -> bool {
         self.steps.iter().any(|s| s.long_running)
     }
 
-    /// Checks what the types leave open.
+    /// Validates the constraints that the types do not express.
     ///
     /// # Errors
-    /// All faults together.
+    /// Returns all faults together.
     pub fn check(&self) -> Result<(), Findings> {
         let mut findings = Findings::default();
         let mut fault = |place: String, message: String| {
--- a/components/workload/src/uncertain_losses.rs
+++ b/components/workload/src/uncertain_losses.rs
@@ -1,7 +1,8 @@
-//! Tasks that have lost workers among so many others that chance may have hit them.
+//! Losses of runs whose workers were lost together with so many others that coincidence may explain them.
 //!
-//! Such a loss is not counted against a task by itself: what speaks against it is added up, and a loss counts once that
-//! is as much as one that came alone. It is part of the [`crate::ReplicatedState`], so that a change of leader loses none of it.
+//! Such a loss does not count against its task by itself. Instead the weights of its uncertain losses are added up, and
+//! a loss counts once their sum is as strong an indication as a single isolated loss. The records are part of the
+//! [`crate::ReplicatedState`], so that a change of leader loses none of them.
 
 use std::collections::BTreeMap;
 
@@ -9,71 +10,71 @@
 
 use crate::{JobId, TaskKey};
 
-/// From what weight on, added up, a loss counts against a task, of [`FULL_WEIGHT`] for one that chance has surely not
-/// brought.
+/// The accumulated weight at which a loss counts against its task, on the scale where [`FULL_WEIGHT`] stands for a loss
+/// that is certainly no coincidence.
 pub const COUNTED_WEIGHT: u16 = 650;
-/// The weight of a loss that chance has surely not brought.
+/// The weight of a loss that is certainly no coincidence.
 pub const FULL_WEIGHT: u16 = 1_000;
 
-/// A run whose worker was lost among so many that chance may have hit it.
+/// A run whose worker was lost together with so many others that coincidence may explain the loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UncertainLoss {
-    /// The task; of a gang the first one.
+    /// The task; for a gang, its first task.
     pub task: TaskKey,
     /// The run.
     pub run: u32,
-    /// What the loss speaks against it, below [`COUNTED_WEIGHT`].
+    /// How strongly the loss indicates that the task crashed its worker; below [`COUNTED_WEIGHT`].
     pub weight: u16,
 }
 
-/// What has not been counted against a task.
+/// The uncertain losses of one task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-struct Doubt {
-    /// How many losses were not counted.
+struct LossRecord {
+    /// The number of losses that were not counted against the task.
     losses: u16,
-    /// What speaks against the task since a loss was last counted.
+    /// The weight accumulated since a loss was last counted.
     weight: u16,
-    /// The last run that was weighed.
+    /// The last run that was recorded.
     last_run: u32,
 }
 
-/// The tasks in doubt; a gang is held by its first task.
+/// The tasks with uncertain losses; a gang is recorded under its first task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UncertainLosses(BTreeMap<TaskKey, Doubt>);
+pub struct UncertainLosses(BTreeMap<TaskKey, LossRecord>);
 
 impl UncertainLosses {
-    /// Tells whether a loss counts against its task with what spoke against that before.
+    /// Returns whether a loss counts against its task, given the weight accumulated by earlier losses.
     pub fn counts(&self, loss: &UncertainLoss) -> bool {
-        let doubt = self.0.get(&loss.task).copied().unwrap_or_default();
-        loss.run > doubt.last_run && doubt.weight + loss.weight >= COUNTED_WEIGHT
+        let record = self.0.get(&loss.task).copied().unwrap_or_default();
+        loss.run > record.last_run && record.weight + loss.weight >= COUNTED_WEIGHT
     }
 
-    /// Takes in a loss, whether or not it counts.
-    pub(crate) fn add(&mut self, loss: &UncertainLoss) {
+    /// Records a loss, whether or not it counts.
+    pub(crate) fn record(&mut self, loss: &UncertainLoss) {
         let counts = self.counts(loss);
-        let doubt = self.0.entry(loss.task).or_default();
-        if loss.run <= doubt.last_run {
+        let record = self.0.entry(loss.task).or_default();
+        if loss.run <= record.last_run {
             return;
         }
-        doubt.last_run = loss.run;
-        doubt.weight += loss.weight.min(COUNTED_WEIGHT);
+        record.last_run = loss.run;
+        record.weight += loss.weight.min(COUNTED_WEIGHT);
         match counts {
-            true => doubt.weight -= COUNTED_WEIGHT,
-            false => doubt.losses = doubt.losses.saturating_add(1),
+            true => record.weight -= COUNTED_WEIGHT,
+            false => record.losses = record.losses.saturating_add(1),
         }
     }
 
-    /// Gives how many losses under a task were not counted against it.
+    /// Returns the number of losses of a task that were not counted against it.
     pub fn losses(&self, task: &TaskKey) -> u16 {
         self.0.get(task).map_or(0, |d| d.losses)
     }
 
-    /// Tells whether no task is in doubt.
+    /// Returns whether no task has uncertain losses.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Gives the tasks in doubt.
+    /// Returns the tasks with uncertain losses.
     pub fn tasks(&self) -> impl Iterator<Item = &TaskKey> {
         self.0.keys()
     }
@@ -82,8 +83,8 @@
         self.0.remove(task);
     }
 
-    /// Forgets the tasks of jobs that are forgotten.
-    pub(crate) fn retain(&mut self, is_known: impl Fn(JobId) -> bool) {
-        self.0.retain(|task, _| is_known(task.step.job));
+    /// Removes the tasks of jobs that are no longer known.
+    pub(crate) fn retain(&mut self, is_known_job: impl Fn(JobId) -> bool) {
+        self.0.retain(|task, _| is_known_job(task.step.job));
     }
 }
--- a/components/workload/tests/common/mod.rs
+++ b/components/workload/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Commands for one job and its workers.
+//! Builders of commands for one job and its workers.
 
 use std::sync::Arc;
 
--- a/components/workload/tests/crashes.rs
+++ b/components/workload/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! What the log holds against tasks under which workers have crashed.
+//! Tests of how worker crashes are attributed to tasks, and when a job is given up for them.
 
 mod common;
 
@@ -12,7 +12,7 @@
     MAX_TOTAL_CRASHES, ReplicatedState, StepSpec, TaskKey, WorkerId,
 };
 
-fn replicated(spec: StepSpec) -> ReplicatedState {
+fn with_job(spec: StepSpec) -> ReplicatedState {
     let mut replicated = ReplicatedState::default();
     replicated.apply(&submit(1, vec![spec]));
     replicated
@@ -31,7 +31,7 @@
     replicated.apply(&Command::Started { worker: WorkerId::from(name), runs: runs.to_vec() });
 }
 
-fn under(runs: &[(TaskKey, u32)]) -> CrashSuspects {
+fn primary(runs: &[(TaskKey, u32)]) -> CrashSuspects {
     CrashSuspects { primary: runs.to_vec(), primary_young: true, ..CrashSuspects::default() }
 }
 
@@ -46,11 +46,11 @@
     [Command::CrashSuspected { worker, crash_suspects }, lapsed]
 }
 
-/// Lets a task run on a worker that crashes.
+/// Starts a run of one task on a worker that then crashes.
 fn crash(replicated: &mut ReplicatedState, name: &str, index: u32, run: u32) {
     let runs = [(task(index), run)];
     start(replicated, name, &runs);
-    replicated.apply(&crashed(name, under(&runs)));
+    replicated.apply(&crashed(name, primary(&runs)));
 }
 
 fn state(replicated: &ReplicatedState) -> Option<JobState> {
@@ -59,199 +59,203 @@
 
 #[test]
 fn a_job_is_given_up_at_the_last_crash_and_not_before() {
-    let mut b = replicated(plain());
+    let mut replicated = with_job(plain());
     for run in 1..MAX_CRASHES {
-        crash(&mut b, &format!("w{run}"), 0, u32::from(run));
-        assert_eq!(state(&b), Some(JobState::Running));
+        crash(&mut replicated, &format!("w{run}"), 0, u32::from(run));
+        assert_eq!(state(&replicated), Some(JobState::Running));
     }
-    crash(&mut b, "w", 0, u32::from(MAX_CRASHES));
-    assert_eq!(state(&b), Some(JobState::Failed));
-    assert!(b.crashes().gave_up(JobId(1)));
-    assert!(b.open().is_empty(), "nothing of it waits");
+    crash(&mut replicated, "w", 0, u32::from(MAX_CRASHES));
+    assert_eq!(state(&replicated), Some(JobState::Failed));
+    assert!(replicated.crashes().gave_up(JobId(1)));
+    assert!(replicated.open().is_empty(), "none of its tasks waits");
 }
 
 #[test]
 fn each_task_is_counted_by_itself() {
-    let mut b = replicated(plain());
-    (0..4).for_each(|i| crash(&mut b, &format!("w{i}"), i, 1));
-    assert_eq!(state(&b), Some(JobState::Running));
+    let mut replicated = with_job(plain());
+    (0..4).for_each(|i| crash(&mut replicated, &format!("w{i}"), i, 1));
+    assert_eq!(state(&replicated), Some(JobState::Running));
 }
 
 #[test]
-fn a_command_that_comes_twice_counts_once() {
-    let mut b = replicated(plain());
+fn a_crash_that_is_committed_twice_counts_once() {
+    let mut replicated = with_job(plain());
     let runs = [(task(0), 1)];
-    start(&mut b, "w", &runs);
-    b.apply(&crashed("w", under(&runs)));
-    b.apply(&crashed("w", under(&runs)));
-    assert_eq!(b.crashes().crashes(&task(0)), 1);
+    start(&mut replicated, "w", &runs);
+    replicated.apply(&crashed("w", primary(&runs)));
+    replicated.apply(&crashed("w", primary(&runs)));
+    assert_eq!(replicated.crashes().crashes(&task(0)), 1);
 }
 
 #[test]
 fn a_gang_counts_once_a_run_however_many_of_its_workers_crash() {
-    let mut b = replicated(gang());
+    let mut replicated = with_job(gang());
     for run in 1..=u32::from(MAX_CRASHES) {
-        assert!(!state(&b).is_some_and(JobState::is_final), "run {run}");
+        assert!(!state(&replicated).is_some_and(JobState::is_final), "run {run}");
         for index in 0..4 {
-            start(&mut b, &format!("w{index}-{run}"), &[(task(index), run)]);
+            start(&mut replicated, &format!("w{index}-{run}"), &[(task(index), run)]);
         }
         for index in 0..4 {
-            b.apply(&crashed(&format!("w{index}-{run}"), under(&[(task(index), run)])));
+            replicated.apply(&crashed(&format!("w{index}-{run}"), primary(&[(task(index), run)])));
         }
     }
-    assert_eq!(state(&b), Some(JobState::Failed));
+    assert_eq!(state(&replicated), Some(JobState::Failed));
 }
 
 #[test]
 fn a_lapsed_run_counts_once_its_worker_is_known_to_have_crashed() {
-    let mut b = replicated(plain());
+    let mut replicated = with_job(plain());
     let runs = [(task(0), 1)];
-    start(&mut b, "w", &runs);
-    lapsed("w", under(&runs)).iter().for_each(|c| b.apply(c));
-    assert_eq!(b.crashes().crashes(&task(0)), 0);
-    assert!(b.crashes().has_lapsed_runs(&WorkerId::from("w")));
-    b.apply(&crashed("w", CrashSuspects::default()));
-    assert_eq!(b.crashes().crashes(&task(0)), 1);
+    start(&mut replicated, "w", &runs);
+    lapsed("w", primary(&runs)).iter().for_each(|c| replicated.apply(c));
+    assert_eq!(replicated.crashes().crashes(&task(0)), 0);
+    assert!(replicated.crashes().has_lapsed_runs(&WorkerId::from("w")));
+    replicated.apply(&crashed("w", CrashSuspects::default()));
+    assert_eq!(replicated.crashes().crashes(&task(0)), 1);
 }
 
 #[rstest]
-#[case::heard_of_again(Command::WorkerSurvived { worker: WorkerId::from("w") })]
-#[case::had_said_that_it_leaves(Command::WorkerGone { worker: WorkerId::from("w"), saved: vec![] })]
+#[case::is_in_contact_again(Command::WorkerSurvived { worker: WorkerId::from("w") })]
+#[case::had_announced_that_it_leaves(Command::WorkerGone { worker: WorkerId::from("w"), saved: vec![] })]
 fn a_lapsed_run_counts_for_nothing_if_its_worker(#[case] command: Command) {
-    let mut b = replicated(plain());
+    let mut replicated = with_job(plain());
     let runs = [(task(0), 1)];
-    start(&mut b, "w", &runs);
-    lapsed("w", under(&runs)).iter().for_each(|c| b.apply(c));
-    b.apply(&command);
-    assert!(b.crashes().is_empty());
+    start(&mut replicated, "w", &runs);
+    lapsed("w", primary(&runs)).iter().for_each(|c| replicated.apply(c));
+    replicated.apply(&command);
+    assert!(replicated.crashes().is_empty());
 }
 
 #[test]
 fn as_many_lapses_as_give_a_task_up_make_it_wait() {
-    let mut b = replicated(plain());
+    let mut replicated = with_job(plain());
     for run in 1..=u32::from(MAX_CRASHES) {
-        assert!(!b.crashes().must_wait(&task(0)), "run {run}");
+        assert!(!replicated.crashes().must_wait(&task(0)), "run {run}");
         let (name, runs) = (format!("w{run}"), [(task(0), run)]);
-        start(&mut b, &name, &runs);
-        let crash_suspects = CrashSuspects { silent_alone: true, ..under(&runs) };
-        lapsed(&name, crash_suspects).iter().for_each(|c| b.apply(c));
+        start(&mut replicated, &name, &runs);
+        let crash_suspects = CrashSuspects { silent_alone: true, ..primary(&runs) };
+        lapsed(&name, crash_suspects).iter().for_each(|c| replicated.apply(c));
     }
-    assert!(b.crashes().must_wait(&task(0)));
-    b.apply(&Command::WorkerSurvived { worker: WorkerId::from("w1") });
-    assert!(!b.crashes().must_wait(&task(0)));
+    assert!(replicated.crashes().must_wait(&task(0)));
+    replicated.apply(&Command::WorkerSurvived { worker: WorkerId::from("w1") });
+    assert!(!replicated.crashes().must_wait(&task(0)));
 }
 
-/// It is the last to be given up, but it is: else one that ends its workers late would always have younger
-/// neighbours to blame.
+/// A run that was healthy for a while beside young runs is given up only at the overall limit, but it is given up:
+/// otherwise a task that crashes its workers late would never be given up, as younger runs are always suspected first.
 #[test]
-fn what_had_been_well_beside_young_runs_is_given_up_last() {
-    let mut b = replicated(plain());
+fn a_run_that_was_healthy_beside_young_ones_is_given_up_last() {
+    let mut replicated = with_job(plain());
     for run in 1..=u32::from(MAX_TOTAL_CRASHES) {
-        assert!(!state(&b).is_some_and(JobState::is_final), "run {run}");
+        assert!(!state(&replicated).is_some_and(JobState::is_final), "run {run}");
         let (name, runs) = (format!("w{run}"), [(task(0), run)]);
-        start(&mut b, &name, &runs);
+        start(&mut replicated, &name, &runs);
         let crash_suspects = CrashSuspects {
             secondary: runs.to_vec(),
             primary_young: true,
             ..CrashSuspects::default()
         };
-        b.apply(&crashed(&name, crash_suspects));
+        replicated.apply(&crashed(&name, crash_suspects));
     }
-    assert_eq!(state(&b), Some(JobState::Failed));
+    assert_eq!(state(&replicated), Some(JobState::Failed));
 }
 
 #[test]
 fn a_task_that_is_done_or_has_run_for_long_is_cleared() {
-    let mut b = replicated(plain());
-    crash(&mut b, "w1", 0, 1);
-    crash(&mut b, "w2", 1, 1);
-    start(&mut b, "w3", &[(task(0), 2)]);
+    let mut replicated = with_job(plain());
+    crash(&mut replicated, "w1", 0, 1);
+    crash(&mut replicated, "w2", 1, 1);
+    start(&mut replicated, "w3", &[(task(0), 2)]);
     let (kind, checkpoint) = (EndKind::Done, Arc::from(""));
     let end = End { number: 1, task: task(0), run: 2, kind, checkpoint };
-    b.apply(&Command::Ended { worker: WorkerId::from("w3"), ends: vec![end], at: Millis(30) });
-    b.apply(&Command::SuspectsCleared { tasks: vec![task(1)] });
-    assert!(b.crashes().is_empty());
+    replicated.apply(&Command::Ended {
+        worker: WorkerId::from("w3"),
+        ends: vec![end],
+        at: Millis(30),
+    });
+    replicated.apply(&Command::SuspectsCleared { tasks: vec![task(1)] });
+    assert!(replicated.crashes().is_empty());
 }
 
 #[test]
 fn the_counts_survive_a_snapshot() {
-    let mut b = replicated(plain());
-    crash(&mut b, "w1", 0, 1);
+    let mut replicated = with_job(plain());
+    crash(&mut replicated, "w1", 0, 1);
     let runs = [(task(1), 1)];
-    start(&mut b, "w2", &runs);
-    lapsed("w2", under(&runs)).iter().for_each(|c| b.apply(c));
-    assert_eq!(ReplicatedState::decode(&b.encode().unwrap()).unwrap(), b);
+    start(&mut replicated, "w2", &runs);
+    lapsed("w2", primary(&runs)).iter().for_each(|c| replicated.apply(c));
+    assert_eq!(ReplicatedState::decode(&replicated.encode().unwrap()).unwrap(), replicated);
 }
 
-/// A snapshot from before crashes were counted ends where the counts begin now.
+/// A snapshot written before crashes were counted ends where the crash ledger now begins.
 #[test]
 fn a_snapshot_without_counts_is_read() {
-    let mut b = replicated(plain());
-    let without = b.encode().unwrap();
+    let mut replicated = with_job(plain());
+    let without = replicated.encode().unwrap();
     let empty_ledger = 2;
     let old = &without[..without.len() - empty_ledger];
-    assert_eq!(ReplicatedState::decode(old).unwrap(), b);
-    crash(&mut b, "w1", 0, 1);
-    assert!(b.encode().unwrap().len() > without.len());
+    assert_eq!(ReplicatedState::decode(old).unwrap(), replicated);
+    crash(&mut replicated, "w1", 0, 1);
+    assert!(replicated.encode().unwrap().len() > without.len());
 }
 
 #[test]
 fn the_counts_of_forgotten_jobs_are_forgotten() {
-    let mut b = replicated(plain());
-    crash(&mut b, "w1", 0, 1);
-    b.apply(&Command::Cancel { id: JobId(1), at: Millis(40) });
-    b.apply(&Command::Forget { before: Millis(1_000) });
-    assert!(b.crashes().is_empty());
+    let mut replicated = with_job(plain());
+    crash(&mut replicated, "w1", 0, 1);
+    replicated.apply(&Command::Cancel { id: JobId(1), at: Millis(40) });
+    replicated.apply(&Command::Forget { before: Millis(1_000) });
+    assert!(replicated.crashes().is_empty());
 }
 
-/// A small cell whose workers crashed one after the other gave up a job that was well: it met three crashes, each time
-/// beside three other young runs, one of which was at fault.
+/// Guards against giving up a healthy job in a small cell whose workers crash one after the other. In this log the job
+/// met three crashes, each time beside three other young runs, one of which was faulty.
 ///
 ///     WARN E958 run_lost 800003e800000057.0.0.0 run=3 worker=i-3-2 why="another life answered" age_ms=622 stage=confirmed beside=3
 ///     INFO E933 job_over 800003e800000057 state=Failed queue=q took_ms=2608 why="its workers crashed"
 #[test]
-fn a_crash_in_company_gives_a_job_up_one_later() {
-    let mut b = replicated(plain());
+fn crashes_beside_other_young_runs_give_a_job_up_one_crash_later() {
+    let mut replicated = with_job(plain());
     for run in 1..=u32::from(MAX_CRASHES) {
-        crash_with(&mut b, &[(task(0), run), (task(1), run)]);
-        assert_eq!(state(&b), Some(JobState::Running), "run {run}");
+        crash_together(&mut replicated, &[(task(0), run), (task(1), run)]);
+        assert_eq!(state(&replicated), Some(JobState::Running), "run {run}");
     }
-    crash_with(&mut b, &[(task(0), 9), (task(2), 9)]);
-    assert_eq!(state(&b), Some(JobState::Failed));
-    assert_eq!(b.crashes().crashes(&task(0)), MAX_SHARED_CRASHES);
+    crash_together(&mut replicated, &[(task(0), 9), (task(2), 9)]);
+    assert_eq!(state(&replicated), Some(JobState::Failed));
+    assert_eq!(replicated.crashes().crashes(&task(0)), MAX_SHARED_CRASHES);
 }
 
 #[test]
-fn a_crash_alone_after_some_in_company_gives_it_up_at_once() {
-    let mut b = replicated(plain());
+fn a_crash_without_other_suspects_after_shared_ones_gives_the_job_up_immediately() {
+    let mut replicated = with_job(plain());
     for run in 1..=u32::from(MAX_CRASHES) {
-        crash_with(&mut b, &[(task(0), run), (task(1), run)]);
+        crash_together(&mut replicated, &[(task(0), run), (task(1), run)]);
     }
-    crash_with(&mut b, &[(task(1), 9)]);
-    assert_eq!(state(&b), Some(JobState::Failed));
+    crash_together(&mut replicated, &[(task(1), 9)]);
+    assert_eq!(state(&replicated), Some(JobState::Failed));
 }
 
-/// Lets tasks run on a worker that crashes.
-fn crash_with(replicated: &mut ReplicatedState, runs: &[(TaskKey, u32)]) {
+/// Starts runs of several tasks on a worker that then crashes.
+fn crash_together(replicated: &mut ReplicatedState, runs: &[(TaskKey, u32)]) {
     start(replicated, "w", runs);
-    replicated.apply(&crashed("w", under(runs)));
+    replicated.apply(&crashed("w", primary(runs)));
 }
 
 #[rstest]
 #[case::by_itself(true, Some(JobState::Failed))]
 #[case::with_others(false, Some(JobState::Running))]
-fn workers_that_fall_silent_for_good_give_a_job_up_if_each_did_so(
+fn workers_that_are_lost_give_a_job_up_if_each_lost_contact_alone(
     #[case] silent_alone: bool,
-    #[case] wanted: Option<JobState>,
+    #[case] expected: Option<JobState>,
 ) {
-    let mut b = replicated(plain());
+    let mut replicated = with_job(plain());
     for run in 1..=u32::from(MAX_CRASHES) {
         let (name, runs) = (format!("w{run}"), [(task(0), run)]);
-        start(&mut b, &name, &runs);
-        let crash_suspects = CrashSuspects { silent_alone, ..under(&runs) };
-        lapsed(&name, crash_suspects).iter().for_each(|c| b.apply(c));
+        start(&mut replicated, &name, &runs);
+        let crash_suspects = CrashSuspects { silent_alone, ..primary(&runs) };
+        lapsed(&name, crash_suspects).iter().for_each(|c| replicated.apply(c));
         let worker = WorkerId::from(name.as_str());
-        b.apply(&Command::WorkerLost { worker, at: Millis(50) });
+        replicated.apply(&Command::WorkerLost { worker, at: Millis(50) });
     }
-    assert_eq!(state(&b), wanted);
+    assert_eq!(state(&replicated), expected);
 }
--- a/components/workload/tests/organisations.rs
+++ b/components/workload/tests/organisations.rs
@@ -1,4 +1,4 @@
-//! Organisations: keys, limits, and what the book keeps of them.
+//! Tests of organisations: API keys, limits, and the ownership of jobs in the replicated state.
 
 mod common;
 
@@ -15,7 +15,7 @@
     Organisation { name: name.into(), weight: 1.0, limit }
 }
 
-fn owned(job: u64, name: &str) -> Command {
+fn assign_owner(job: u64, name: &str) -> Command {
     Command::AssignOwner { job: JobId(job), organisation: name.into() }
 }
 
@@ -23,10 +23,10 @@
     Command::Started { worker: WorkerId::from("w"), runs: vec![(task(0), run)] }
 }
 
-/// A book in which the first task of a job of organisation `a` runs.
+/// Returns a state in which the first task of a job of organisation `a` is running.
 fn running() -> ReplicatedState {
     let mut replicated = ReplicatedState::default();
-    let commands = [join("w"), owned(1, "a"), submit(1, vec![step(2)]), started(1)];
+    let commands = [join("w"), assign_owner(1, "a"), submit(1, vec![step(2)]), started(1)];
     commands.iter().for_each(|c| replicated.apply(c));
     replicated
 }
@@ -48,14 +48,17 @@
     assert!(all.add(organisation("a", Size::ZERO)) && all.add(organisation("b", Size::ZERO)));
     assert!(!all.add(organisation("a", Size::ZERO)));
     assert!(all.add_key(KeyDigest::of("k"), &"a".into()));
-    assert!(all.add_key(KeyDigest::of("k"), &"a".into()), "said twice of the same one");
+    assert!(
+        all.add_key(KeyDigest::of("k"), &"a".into()),
+        "the same organisation may list it twice"
+    );
     assert!(!all.add_key(KeyDigest::of("k"), &"b".into()));
     let holder = |key| all.holder(&Credential::Key(KeyDigest::of(key))).map(|n| &**n);
     assert_eq!((holder("k"), holder("K")), (Some("a"), None));
 }
 
 #[test]
-fn a_digest_shows_neither_the_key_nor_itself_whole() {
+fn a_digest_shows_neither_the_key_nor_the_whole_digest() {
     let digest = KeyDigest::of("a-secret-key");
     let shown = format!("{digest} {digest:?} {:?}", Credential::Key(digest));
     assert!(!shown.contains("secret"));
@@ -71,7 +74,7 @@
 #[case::not_started(Command::NotStarted { worker: WorkerId::from("w"), runs: vec![(task(0), 1)] })]
 #[case::lapsed(Command::Lapsed { worker: WorkerId::from("w"), saved: vec![] })]
 #[case::worker_gone(Command::WorkerGone { worker: WorkerId::from("w"), saved: vec![] })]
-fn a_run_counts_from_its_start_until_it_is_surely_over(#[case] over: Command) {
+fn a_run_counts_from_its_start_until_it_has_certainly_ended(#[case] over: Command) {
     let mut replicated = running();
     assert_eq!(replicated.ownership().used("a"), Size::new(1_000, 100, 0));
     replicated.apply(&over);
@@ -89,14 +92,14 @@
 #[test]
 fn the_owner_of_a_job_that_is_known_never_changes() {
     let mut replicated = running();
-    replicated.apply(&owned(1, "b"));
+    replicated.apply(&assign_owner(1, "b"));
     assert_eq!(replicated.ownership().owner(JobId(1)).map(|o| &**o), Some("a"));
 }
 
 #[test]
-fn the_owner_of_a_job_that_never_came_is_forgotten() {
+fn the_owner_of_a_job_that_was_never_accepted_is_forgotten() {
     let mut replicated = running();
-    replicated.apply(&owned(7, "b"));
+    replicated.apply(&assign_owner(7, "b"));
     replicated.apply(&Command::Forget { before: Millis(0) });
     assert_eq!(replicated.ownership().owner(JobId(7)), None);
     assert_eq!(replicated.ownership().owner(JobId(1)).map(|o| &**o), Some("a"));
@@ -107,7 +110,7 @@
     let replicated = running();
     let bytes = replicated.encode().unwrap();
     assert_eq!(ReplicatedState::decode(&bytes).unwrap(), replicated);
-    // An earlier version wrote the same without its last part.
+    // An earlier version wrote the same encoding without its last part.
     let ownership = postcard::to_allocvec(replicated.ownership()).unwrap();
     let before = &bytes[..bytes.len() - ownership.len()];
     let read = ReplicatedState::decode(before).unwrap();
--- a/components/workload/tests/replicated_state.rs
+++ b/components/workload/tests/replicated_state.rs
@@ -1,4 +1,4 @@
-//! Single rules of the state machine.
+//! Tests of single rules of the replicated state machine.
 
 mod common;
 
@@ -21,7 +21,7 @@
     Command::Ended { worker: WorkerId::from(name), ends: vec![end], at: Millis(20) }
 }
 
-fn replicated(commands: &[Command]) -> ReplicatedState {
+fn apply_all(commands: &[Command]) -> ReplicatedState {
     let mut replicated = ReplicatedState::default();
     commands.iter().for_each(|c| replicated.apply(c));
     replicated
@@ -40,40 +40,40 @@
 #[case::failed_once(EndKind::Failed, Some(JobState::Running), 1)]
 #[case::stopped(EndKind::Stopped, Some(JobState::Running), 1)]
 #[case::lapsed(EndKind::Lapsed, Some(JobState::Running), 1)]
-fn an_end_frees_the_room_and_decides_what_comes_next(
+fn an_end_frees_capacity_and_decides_what_comes_next(
     #[case] kind: EndKind,
-    #[case] state_: Option<JobState>,
+    #[case] expected: Option<JobState>,
     #[case] open: usize,
 ) {
-    let b = replicated(&[
+    let replicated = apply_all(&[
         submit(1, vec![step(1)]),
         join("w"),
         started("w", 0, 1),
         ended("w", 1, 0, 1, kind),
     ]);
-    assert_eq!(used(&b, "w"), 0);
-    assert_eq!(state(&b), state_);
-    assert_eq!(b.open().len(), open);
+    assert_eq!(used(&replicated, "w"), 0);
+    assert_eq!(state(&replicated), expected);
+    assert_eq!(replicated.open().len(), open);
 }
 
 #[test]
-fn an_end_counts_once_however_often_it_is_listed() {
+fn an_end_counts_once_however_often_it_is_reported() {
     let failed = ended("w", 1, 0, 1, EndKind::Failed);
-    let b = replicated(&[
+    let replicated = apply_all(&[
         submit(1, vec![step(1)]),
         join("w"),
         started("w", 0, 1),
         failed.clone(),
         failed,
     ]);
-    assert_eq!(b.task(&task(0)).map(|t| t.failed), Some(1));
-    assert_eq!(state(&b), Some(JobState::Running));
+    assert_eq!(replicated.task(&task(0)).map(|t| t.failed), Some(1));
+    assert_eq!(state(&replicated), Some(JobState::Running));
 }
 
 #[test]
 fn a_failed_run_counts_also_if_it_was_believed_lost() {
     let worker = WorkerId::from("w");
-    let b = replicated(&[
+    let replicated = apply_all(&[
         submit(1, vec![step(1)]),
         join("w"),
         join("v"),
@@ -83,81 +83,88 @@
         ended("w", 1, 0, 1, EndKind::Failed),
         ended("v", 1, 0, 2, EndKind::Failed),
     ]);
-    assert_eq!(state(&b), Some(JobState::Failed));
+    assert_eq!(state(&replicated), Some(JobState::Failed));
 }
 
 #[test]
-fn a_lapsed_worker_frees_its_room_and_keeps_the_progress() {
+fn a_lapsed_worker_frees_its_capacity_and_keeps_the_checkpoints() {
     let worker = WorkerId::from("w");
     let saved = vec![(task(0), Arc::from("progress"))];
-    let b = replicated(&[
+    let replicated = apply_all(&[
         submit(1, vec![step(2)]),
         join("w"),
         started("w", 0, 1),
         started("w", 1, 1),
         Command::Lapsed { worker, saved },
     ]);
-    assert_eq!(used(&b, "w"), 0);
-    assert_eq!(b.task(&task(0)).map(|t| t.checkpoint.to_string()), Some("progress".into()));
-    assert_eq!(b.step(&task(0).step).map(|s| s.waiting().count()), Some(2));
+    assert_eq!(used(&replicated, "w"), 0);
+    assert_eq!(
+        replicated.task(&task(0)).map(|t| t.checkpoint.to_string()),
+        Some("progress".into())
+    );
+    assert_eq!(replicated.step(&task(0).step).map(|s| s.waiting().count()), Some(2));
 }
 
 #[test]
-fn a_cancelled_job_keeps_its_room_until_its_runs_have_ended_and_then_can_be_forgotten() {
-    let mut b = replicated(&[
+fn a_cancelled_job_keeps_its_capacity_until_its_runs_have_ended_and_then_can_be_forgotten() {
+    let mut replicated = apply_all(&[
         submit(1, vec![step(1)]),
         join("w"),
         started("w", 0, 1),
         Command::Cancel { id: JobId(1), at: Millis(30) },
         Command::Forget { before: Millis(1_000) },
     ]);
-    assert_eq!((used(&b, "w"), state(&b)), (1_000, Some(JobState::Cancelled)));
-    assert!(!b.is_wanted(&task(0), 1));
-    b.apply(&ended("w", 1, 0, 1, EndKind::Stopped));
-    b.apply(&Command::Forget { before: Millis(1_000) });
-    assert_eq!((used(&b, "w"), state(&b)), (0, None));
+    assert_eq!((used(&replicated, "w"), state(&replicated)), (1_000, Some(JobState::Cancelled)));
+    assert!(!replicated.is_wanted(&task(0), 1));
+    replicated.apply(&ended("w", 1, 0, 1, EndKind::Stopped));
+    replicated.apply(&Command::Forget { before: Millis(1_000) });
+    assert_eq!((used(&replicated, "w"), state(&replicated)), (0, None));
 }
 
 #[test]
-fn one_member_done_stands_for_the_whole_gang() {
+fn a_gang_is_done_once_one_member_is_done() {
     let gang = StepSpec { gang: true, ..step(3) };
     let runs = (0..3).map(|i| (task(i), 1)).collect();
-    let b = replicated(&[
+    let replicated = apply_all(&[
         submit(1, vec![gang]),
         join("w"),
         Command::Started { worker: WorkerId::from("w"), runs },
         ended("w", 1, 1, 1, EndKind::Done),
     ]);
-    assert_eq!(state(&b), Some(JobState::Completed));
-    assert_eq!(used(&b, "w"), 2_000, "the others take room until their ends are listed");
+    assert_eq!(state(&replicated), Some(JobState::Completed));
+    assert_eq!(
+        used(&replicated, "w"),
+        2_000,
+        "the other members take capacity until their ends are reported"
+    );
 }
 
 #[test]
 fn a_gangs_failed_run_counts_once_for_all_members() {
     let gang = StepSpec { gang: true, ..step(2) };
     let runs = (0..2).map(|i| (task(i), 1)).collect();
-    let b = replicated(&[
+    let replicated = apply_all(&[
         submit(1, vec![gang]),
         join("w"),
         Command::Started { worker: WorkerId::from("w"), runs },
         ended("w", 1, 0, 1, EndKind::Failed),
         ended("w", 2, 1, 1, EndKind::Failed),
     ]);
-    assert_eq!(state(&b), Some(JobState::Running));
-    assert_eq!(b.open().len(), 1);
+    assert_eq!(state(&replicated), Some(JobState::Running));
+    assert_eq!(replicated.open().len(), 1);
 }
 
 #[test]
 fn only_a_higher_version_changes_the_configuration() {
     let publish = |version, text: &str| Command::Configure(Document { version, text: text.into() });
-    let b = replicated(&[publish(4, "four"), publish(4, "other"), publish(2, "two")]);
-    assert_eq!(b.document(), &Document { version: 4, text: "four".into() });
+    let replicated = apply_all(&[publish(4, "four"), publish(4, "other"), publish(2, "two")]);
+    assert_eq!(replicated.document(), &Document { version: 4, text: "four".into() });
 }
 
 #[test]
-fn a_book_reads_back_from_a_snapshot() {
-    let b = replicated(&[submit(1, vec![step(2)]), join("w"), started("w", 0, 1)]);
-    assert_eq!(ReplicatedState::decode(&b.encode().unwrap()).unwrap(), b);
+fn the_state_is_restored_from_a_snapshot() {
+    let replicated = apply_all(&[submit(1, vec![step(2)]), join("w"), started("w", 0, 1)]);
+    assert_eq!(ReplicatedState::decode(&replicated.encode().unwrap()).unwrap(), replicated);
     assert!(ReplicatedState::decode(&[7; 9]).is_err());
 }
 
@@ -179,9 +186,9 @@
 #[case("aa.0.1.17", false)]
 #[case("00000000000000ag.0.1.17", false)]
 #[case("00000000000000aa.0.-1.17", false)]
-fn tasks_are_read_as_they_are_written(#[case] text: &str, #[case] good: bool) {
+fn tasks_are_read_as_they_are_written(#[case] text: &str, #[case] valid: bool) {
     let read = text.parse::<TaskKey>();
-    assert_eq!(read.is_ok(), good);
+    assert_eq!(read.is_ok(), valid);
     if let Ok(key) = read {
         assert_eq!(key.to_string(), text);
     }
