--- a/components/model/src/answer.rs
+++ b/components/model/src/answer.rs
@@ -1,31 +1,31 @@
-//! The typed answer to a caller's request.
+//! The answer to a caller's request.
 
 use clock::Millis;
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
 
-/// Why a request was refused. A refused request truly did not run.
+/// The reason why a request was refused. A refused request has certainly not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Refusal {
-    /// Too much work of its class or a more urgent one is ahead of it.
+    /// Too much work of its own or a more urgent class is queued ahead of it.
     Overloaded,
-    /// Its deadline cannot be met or has passed.
+    /// Its deadline has passed or cannot be met.
     DeadlinePassed,
-    /// No upstream of any reachable zone takes work.
+    /// No upstream in any reachable zone accepts work.
     NoUpstream,
-    /// The home of its key cannot be reached, so it cannot be claimed.
+    /// The cell's replicated state, which records request keys, is unreachable, so the key of the request cannot be claimed.
     NoHome,
-    /// The instance has not caught up with the cell yet.
+    /// The instance has not caught up with the replicated state yet.
     NotReady,
-    /// The instance is stopping.
+    /// The instance is shutting down.
     Stopping,
-    /// The request itself is malformed.
+    /// The request is malformed.
     Malformed,
 }
 
 impl Refusal {
-    /// Gives the reason as callers read it.
+    /// Returns the reason as it is sent to callers.
     pub fn as_str(self) -> &'static str {
         match self {
             Refusal::Overloaded => "overloaded",
@@ -39,20 +39,20 @@
     }
 }
 
-/// What a caller is told of its request. There is no fifth case.
+/// The outcome of a request as it is reported to its caller. These four cases are exhaustive.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// It ran, and this is the whole answer.
+    /// It ran, and this is the complete response.
     Done(Vec<u8>),
     /// It did not run.
     Refused {
-        /// Why.
+        /// The reason for the refusal.
         reason: Refusal,
-        /// When to come back.
+        /// The time after which the caller may retry.
         retry_after: Millis,
     },
     /// It ran, and the upstream reported a failure.
     Failed(Name),
-    /// It may have run; heathvale cannot tell.
+    /// It may or may not have run.
     MayHaveRun(Name),
 }
--- a/components/model/src/config.rs
+++ b/components/model/src/config.rs
@@ -1,48 +1,48 @@
-//! The cell's configuration, applied as a whole by compare-and-set on its version.
+//! The configuration of the cell, replaced as a whole by compare-and-set on its version.
 
 use clock::Millis;
 use serde::{Deserialize, Serialize};
 
 use crate::{Name, Size};
 
-/// What a user weighs most when tasks are placed.
+/// The objective that placement gives the most weight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Profile {
-    /// Short waits first.
+    /// Short waiting times.
     #[default]
     Waiting,
-    /// Full workers first.
+    /// Fully used workers.
     Packing,
 }
 
-/// An organisation's ceiling over the whole cell.
+/// The limit of an organisation over the whole cell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quota {
     /// The organisation.
     pub organisation: Name,
-    /// The most it may have placed at once.
+    /// The maximum capacity that its placed tasks may take.
     pub size: Size,
 }
 
-/// Everything operators may change while the cell runs.
+/// The settings that operators may change while the cell is running.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CellConfig {
-    /// What placement weighs most.
+    /// The objective of placement.
     pub profile: Profile,
-    /// How many requests one upstream handles at once, over all instances.
+    /// The number of requests that one upstream handles concurrently, over all instances.
     pub upstream_slots: u32,
-    /// How many connections one upstream takes, over all instances.
+    /// The number of connections that one upstream accepts, over all instances.
     pub upstream_connections: u32,
-    /// The most entry instances a zone will ever have at once; shares are cut for that many.
+    /// The maximum number of entry instances in a zone. The slots of an upstream are divided into that many shares.
     pub instances_per_zone: u32,
-    /// The longest a request may wait in an instance before it is refused.
+    /// The maximum time that a request may wait in an instance before it is refused.
     pub queue_limit: Millis,
-    /// Retries allowed for each hundred first tries that succeed.
+    /// The number of retries allowed for each hundred successful first attempts.
     pub retry_percent: u32,
-    /// How long a worker's lease lasts.
+    /// The duration of a worker's lease.
     pub worker_lease: Millis,
-    /// The organisations' ceilings; an organisation without one is not limited.
+    /// The quotas of organisations; an organisation without one is not limited.
     pub quotas: Vec<Quota>,
 }
 
@@ -62,7 +62,7 @@
 }
 
 impl CellConfig {
-    /// Gives every fault as field and message.
+    /// Returns every fault as a field name and a message.
     pub fn faults(&self) -> Vec<(&'static str, String)> {
         let mut faults = Vec::new();
         if self.instances_per_zone == 0 {
--- a/components/model/src/file.rs
+++ b/components/model/src/file.rs
@@ -1,4 +1,4 @@
-//! Reads job files and configuration files. Every fault is found, with its line and column.
+//! A parser for job files and configuration files that reports all faults at once, with line and column.
 
 use std::ops::Range;
 
@@ -9,12 +9,12 @@
 use crate::config::Quota;
 use crate::{CellConfig, Class, JobKind, JobSpec, Profile, Size, Spread};
 
-/// The largest file that is read, in bytes.
-const MAX_FILE: usize = 1 << 20;
+/// The maximum size of a file, in bytes.
+const MAX_FILE_BYTES: usize = 1 << 20;
 
 type Table<'a> = toml::de::DeTable<'a>;
 
-/// A reader's place in one file: it turns byte ranges into findings.
+/// A file being read, with the findings so far. It converts byte ranges into positions.
 struct Source<'a> {
     path: &'a str,
     text: &'a str,
@@ -31,10 +31,10 @@
         self.findings.push(Finding::new(place, message));
     }
 
-    /// Reads the whole text as a table, or notes why not.
+    /// Parses the whole text as a table, or records why this failed.
     fn root(&mut self) -> Option<Table<'a>> {
-        if self.text.len() > MAX_FILE {
-            self.fault(0..0, format!("the file is larger than {MAX_FILE} bytes"));
+        if self.text.len() > MAX_FILE_BYTES {
+            self.fault(0..0, format!("the file is larger than {MAX_FILE_BYTES} bytes"));
             return None;
         }
         match Table::parse(self.text) {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Notes every key of `table` that is not in `known`.
+    /// Records a fault for every key of `table` that is not in `known`.
     fn unknown_keys(&mut self, table: &Table<'a>, known: &[&str]) {
         for key in table.keys() {
             if !known.contains(&key.get_ref().as_ref()) {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Reads `key`, or gives `default`; without a default the key is required.
+    /// Reads `key`, or returns `default` if it is missing. Without a default the key is required.
     fn field<T>(
         &mut self,
         table: &Table<'a>,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Notes each `(key, message)` at its key, or at `at` when the key was left out.
+    /// Records each `(key, message)` at the position of its key, or at `at` if the key is missing.
     fn faults_at(
         &mut self,
         table: &Table<'a>,
@@ -97,13 +97,13 @@
     }
 }
 
-/// What the key of an organisation was called before; files that have it are still read.
-const EARLIER_ORGANISATION_KEY: &str = "team";
+/// The former name of the key "organisation". Files that use it are still accepted.
+const FORMER_ORGANISATION_KEY: &str = "team";
 
 const JOB_KEYS: &[&str] = &[
     "name",
     "organisation",
-    EARLIER_ORGANISATION_KEY,
+    FORMER_ORGANISATION_KEY,
     "kind",
     "tasks",
     "cpu_milli",
@@ -128,10 +128,10 @@
     "quota",
 ];
 
-/// Reads a job file: one `[[job]]` table for each service, batch job or gang job.
+/// Parses a job file, which has one `[[job]]` table for each service, batch job or gang job.
 ///
 /// # Errors
-/// Gives all the faults of the file together.
+/// Returns all faults of the file together.
 pub fn parse_jobs(path: &str, text: &str) -> Result<Vec<JobSpec>, Findings> {
     let mut src = Source::new(path, text);
     let mut jobs = Vec::new();
@@ -147,10 +147,10 @@
     src.findings.into_result(jobs)
 }
 
-/// Reads a configuration file. Keys left out take their defaults.
+/// Parses a configuration file. Missing keys take their defaults.
 ///
 /// # Errors
-/// Gives all the faults of the file together.
+/// Returns all faults of the file together.
 pub fn parse_config(path: &str, text: &str) -> Result<CellConfig, Findings> {
     let mut src = Source::new(path, text);
     let mut config = CellConfig::default();
@@ -216,18 +216,18 @@
     (src.findings.list.len() == before).then_some(spec)
 }
 
-/// Reads an organisation by its key, or by the earlier one if that stands alone.
+/// Reads the name of an organisation from its key, or from the former key if only that is present.
 fn organisation<'a>(src: &mut Source<'a>, t: &Table<'a>, at: &Range<usize>) -> Option<String> {
     let has = |key: &str| t.iter().any(|(k, _)| k.get_ref().as_ref() == key);
-    let key = match (has("organisation"), has(EARLIER_ORGANISATION_KEY)) {
+    let key = match (has("organisation"), has(FORMER_ORGANISATION_KEY)) {
         (true, true) => {
             src.fault(
                 at.clone(),
-                format!("write \"organisation\" without \"{EARLIER_ORGANISATION_KEY}\""),
+                format!("write \"organisation\" without \"{FORMER_ORGANISATION_KEY}\""),
             );
             return None;
         }
-        (false, true) => EARLIER_ORGANISATION_KEY,
+        (false, true) => FORMER_ORGANISATION_KEY,
         (_, false) => "organisation",
     };
     src.field(t, at, key, None)
@@ -257,7 +257,7 @@
 }
 
 const QUOTA_KEYS: &[&str] =
-    &["organisation", EARLIER_ORGANISATION_KEY, "cpu_milli", "memory_mb", "accelerators"];
+    &["organisation", FORMER_ORGANISATION_KEY, "cpu_milli", "memory_mb", "accelerators"];
 
 fn quotas<'a>(src: &mut Source<'a>, root: &Table<'a>) -> Vec<Quota> {
     let mut quotas: Vec<Quota> = Vec::new();
--- a/components/model/src/ids.rs
+++ b/components/model/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that identify things. Names are shared and never change.
+//! The names and numbers that identify things. Names are shared and immutable.
 
 use std::fmt;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
         pub struct $type(pub Name);
 
         impl $type {
-            /// Gives the name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -48,7 +48,7 @@
     JobName
 );
 
-/// One task of a job.
+/// The id of one task of a job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskId {
     /// The job that the task belongs to.
@@ -63,7 +63,7 @@
     }
 }
 
-/// The number of a grant of one zone's allocator. Workers refuse a lower one than they have seen.
+/// The number of a grant to the allocator of a zone. Workers refuse orders with a lower number than they have seen.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -75,13 +75,13 @@
     }
 }
 
-/// A number drawn when a data folder is made, so that a replaced disk is told from the first one.
+/// A random number drawn when a data folder is created, which distinguishes a replaced disk from the original one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Incarnation(pub u64);
 
 name_type!(
-    /// The caller's own id of a call. A resend carries the same key and gets the first answer.
+    /// The id that a caller chooses for a call. A retry carries the same key and receives the first answer.
     RequestKey
 );
--- a/components/model/src/lib.rs
+++ b/components/model/src/lib.rs
@@ -1,6 +1,6 @@
-//! The nouns that every part of heathvale shares: names, sizes, specs and configuration.
+//! The types that all parts of heathvale share: names, sizes, job specifications and configuration.
 //!
-//! The words are the users' own; docs/glossary.md leads from them to the terms of the field.
+//! The names are those that users see; docs/glossary.md maps them to the terms of the field.
 
 mod answer;
 mod config;
--- a/components/model/src/peers.rs
+++ b/components/model/src/peers.rs
@@ -1,4 +1,4 @@
-//! The instances of the cell, as settings name them.
+//! The instances of the cell, as listed in the settings.
 
 use std::net::SocketAddr;
 
@@ -13,19 +13,20 @@
     pub id: InstanceId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Where the other instances reach it.
+    /// The address for the other instances.
     pub addr: SocketAddr,
-    /// Where it takes callers' requests, so that other zones can pass theirs on.
+    /// The address for callers' requests, to which instances of other zones forward theirs.
     pub callers: SocketAddr,
-    /// Whether it has a data folder and so may vote.
+    /// Whether it has a data folder and may therefore vote.
     pub has_disk: bool,
 }
 
 impl Peer {
-    /// Reads `name=zone@ip:port/ip:port`: the addresses for instances and for callers, with `+disk` behind it if the instance has a data folder.
+    /// Parses `name=zone@ip:port/ip:port`, with the addresses for instances and for callers, followed by `+disk` if the
+    /// instance has a data folder.
     ///
     /// # Errors
-    /// Says which part is missing or malformed.
+    /// Returns a message that names the missing or malformed part.
     pub fn parse(text: &str) -> Result<Peer, String> {
         let (body, has_disk) = match text.strip_suffix("+disk") {
             Some(body) => (body, true),
--- a/components/model/src/size.rs
+++ b/components/model/src/size.rs
@@ -1,17 +1,17 @@
-//! Amounts of processors, memory and accelerators.
+//! Amounts of processor time, memory and accelerators.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// What a task takes or a worker has. Plain integers, so that sums are exact.
+/// The resources that a task takes or a worker has. All amounts are integers, so that sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Size {
-    /// Processor time in thousandths of a core.
+    /// The processor time in thousandths of a core.
     pub cpu_milli: u64,
-    /// Memory in megabytes.
+    /// The memory in megabytes.
     pub memory_mb: u64,
-    /// Whole accelerators.
+    /// The number of whole accelerators.
     pub accelerators: u64,
 }
 
@@ -27,20 +27,20 @@
 }
 
 impl Dimension {
-    /// Every dimension, in the order of [`Size`]'s fields.
+    /// All dimensions, in the order of the fields of [`Size`].
     pub const ALL: [Dimension; 3] = [Dimension::Cpu, Dimension::Memory, Dimension::Accelerators];
 }
 
 impl Size {
-    /// Nothing at all.
+    /// Zero in every dimension.
     pub const ZERO: Size = Size { cpu_milli: 0, memory_mb: 0, accelerators: 0 };
 
-    /// Makes a size from thousandths of a core, megabytes and accelerators.
+    /// Creates a size from thousandths of a core, megabytes and accelerators.
     pub fn new(cpu_milli: u64, memory_mb: u64, accelerators: u64) -> Size {
         Size { cpu_milli, memory_mb, accelerators }
     }
 
-    /// Gives the amount in one dimension.
+    /// Returns the amount in one dimension.
     pub fn get(&self, dimension: Dimension) -> u64 {
         match dimension {
             Dimension::Cpu => self.cpu_milli,
@@ -49,20 +49,20 @@
         }
     }
 
-    /// Tells whether `self` fits into `room` in every dimension.
-    pub fn fits(&self, room: &Size) -> bool {
-        Dimension::ALL.iter().all(|&d| self.get(d) <= room.get(d))
+    /// Returns whether `self` fits into `capacity` in every dimension.
+    pub fn fits(&self, capacity: &Size) -> bool {
+        Dimension::ALL.iter().all(|&d| self.get(d) <= capacity.get(d))
     }
 
-    /// Gives how many times `self` fits into `room`, if it were one worker; for nothing at all the largest number.
-    pub fn copies_in(&self, room: &Size) -> u64 {
-        let per = |need: u64, has: u64| has.checked_div(need).unwrap_or(u64::MAX);
-        per(self.cpu_milli, room.cpu_milli)
-            .min(per(self.memory_mb, room.memory_mb))
-            .min(per(self.accelerators, room.accelerators))
+    /// Returns how many times `self` fits into `capacity` as a whole; [`u64::MAX`] if `self` is zero.
+    pub fn copies_in(&self, capacity: &Size) -> u64 {
+        let per = |needed: u64, available: u64| available.checked_div(needed).unwrap_or(u64::MAX);
+        per(self.cpu_milli, capacity.cpu_milli)
+            .min(per(self.memory_mb, capacity.memory_mb))
+            .min(per(self.accelerators, capacity.accelerators))
     }
 
-    /// Adds `other`, stopping at the largest number.
+    /// Adds `other`, saturating at the maximum.
     pub fn plus(&self, other: &Size) -> Size {
         Size {
             cpu_milli: self.cpu_milli.saturating_add(other.cpu_milli),
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Takes `other` away, stopping at zero.
+    /// Subtracts `other`, saturating at zero.
     pub fn minus(&self, other: &Size) -> Size {
         Size {
             cpu_milli: self.cpu_milli.saturating_sub(other.cpu_milli),
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Gives the lesser of both in each dimension.
+    /// Returns the minimum of both sizes in each dimension.
     pub fn elementwise_min(&self, other: &Size) -> Size {
         Size {
             cpu_milli: self.cpu_milli.min(other.cpu_milli),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Gives `n` times this size.
+    /// Returns the size multiplied by `n`, saturating at the maximum.
     pub fn times(&self, n: u64) -> Size {
         Size {
             cpu_milli: self.cpu_milli.saturating_mul(n),
--- a/components/model/src/spec.rs
+++ b/components/model/src/spec.rs
@@ -1,42 +1,42 @@
-//! What operators declare: services, batch jobs and gang jobs.
+//! The jobs that operators declare: services, batch jobs and gang jobs.
 
 use clock::Millis;
 use serde::{Deserialize, Serialize};
 
 use crate::{JobName, Name, Size};
 
-/// How a job's tasks belong together.
+/// How the tasks of a job relate to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobKind {
-    /// Tasks that stay up until the service is cancelled.
+    /// Tasks that run until the service is cancelled.
     Service,
-    /// Tasks that each run to their end, in any order.
+    /// Tasks that each run to completion, in any order.
     Batch,
-    /// Tasks that start all together or not at all.
+    /// Tasks that all start together or not at all.
     Gang,
 }
 
-/// How urgent work is, most urgent first.
+/// The urgency of work, most urgent first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
-    /// Somebody waits for it.
+    /// Work that a user is waiting for.
     Urgent,
-    /// The ordinary case.
+    /// Ordinary work.
     #[default]
     Normal,
-    /// May wait and is shed first.
+    /// Work that may wait and is shed first.
     Bulk,
 }
 
 impl Class {
-    /// Every class, most urgent first.
+    /// All classes, most urgent first.
     pub const ALL: [Class; 3] = [Class::Urgent, Class::Normal, Class::Bulk];
 
-    /// Gives the class's name as callers write it.
+    /// Returns the name of the class as callers write it.
     pub fn as_str(self) -> &'static str {
         match self {
             Class::Urgent => "urgent",
@@ -45,17 +45,17 @@
         }
     }
 
-    /// Reads a class from the name that callers write.
+    /// Parses a class from the name that callers write.
     pub fn parse(s: &str) -> Option<Class> {
         Class::ALL.into_iter().find(|c| c.as_str() == s)
     }
 }
 
-/// Over what a job's tasks are spread.
+/// The failure domains over which the tasks of a job are spread.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Spread {
-    /// Wherever they pack best.
+    /// None: the tasks are placed wherever they pack best.
     #[default]
     None,
     /// Over the racks of one zone.
@@ -73,32 +73,32 @@
     pub organisation: Name,
     /// Service, batch or gang.
     pub kind: JobKind,
-    /// How many tasks it has.
+    /// The number of its tasks.
     pub tasks: u32,
-    /// What each task takes.
+    /// The resources that each task takes.
     pub size: Size,
     /// The declared run time of a task; zero for a service.
     pub run_time: Millis,
-    /// How urgent it is.
+    /// The urgency of its tasks.
     pub class: Class,
-    /// When its tasks should have started, counted from its creation; zero for no deadline.
+    /// The time after its creation by which its tasks should have started; zero for no deadline.
     pub deadline: Millis,
-    /// Over what its tasks are spread.
+    /// The failure domains over which its tasks are spread.
     pub spread: Spread,
-    /// Whether a task may be started elsewhere once its lease has surely run out. A task that may
-    /// not move goes on in a cut-off zone.
+    /// Whether a task may be started elsewhere once its lease has certainly expired. A task that may
+    /// not move keeps running in a partitioned zone.
     pub may_move: bool,
-    /// Whether a task that may have run can be run again.
+    /// Whether a task that may have run can safely be run again.
     pub repeatable: bool,
 }
 
 impl JobSpec {
-    /// The most tasks one job may have, so that a call's cost stays bounded.
+    /// The maximum number of tasks of one job, which bounds the cost of a call.
     pub const MAX_TASKS: u32 = 20_000;
-    /// The longest name of a job or organisation, in bytes.
+    /// The maximum length of the name of a job or organisation, in bytes.
     pub const MAX_NAME: usize = 100;
 
-    /// Declares a job with the defaults that a job file has for what is left out.
+    /// Creates a job specification with the defaults that a job file uses for missing keys.
     pub fn new(name: &str, organisation: &str, kind: JobKind, tasks: u32, size: Size) -> JobSpec {
         JobSpec {
             name: name.into(),
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Gives every fault of the spec as field and message.
+    /// Returns every fault of the specification as a field name and a message.
     pub fn faults(&self) -> Vec<(&'static str, String)> {
         let mut faults = Vec::new();
         for (field, name) in [("name", &self.name.0), ("organisation", &self.organisation)] {
--- a/components/model/tests/files.rs
+++ b/components/model/tests/files.rs
@@ -1,4 +1,4 @@
-//! Job files and configuration files: every fault is found, with its place.
+//! Tests of job files and configuration files: every fault is reported with its position.
 
 use errors::Place;
 use model::{Class, JobKind, Peer, Profile, Spread, parse_config, parse_jobs};
@@ -27,7 +27,7 @@
 "#;
 
 #[test]
-fn a_good_file_is_read_whole() {
+fn a_valid_file_is_parsed_completely() {
     let jobs = parse_jobs("jobs.toml", GOOD).unwrap();
     assert_eq!(jobs.len(), 2);
     let watch = &jobs[0];
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn all_faults_of_a_file_are_told_together() {
+fn all_faults_of_a_file_are_reported_together() {
     let text = "[[job]]\nname = \"bad name\"\nteam = \"t\"\nkind = \"batch\"\ncpu_milli = 0\n\
                 memory_mb = \"many\"\ntypo = 1\n\n[[job]]\nname = \"x\"\n";
     let found = places(parse_jobs("jobs.toml", text).unwrap_err());
@@ -63,7 +63,7 @@
     has(9, 1, "\"cpu_milli\" is missing");
 }
 
-/// A single fault in a job: the line that has it and words of the message.
+/// Generates tests of a single fault in a job, from the faulty line and a part of the message.
 macro_rules! job_faults {
     ($($name:ident: $line:expr => $words:expr;)*) => {$(
         #[test]
@@ -101,7 +101,7 @@
     assert_eq!(config.instances_per_zone, 2);
 }
 
-/// A faulty configuration and words of the message.
+/// Generates tests of a faulty configuration, from its text and a part of the message.
 macro_rules! config_faults {
     ($($name:ident: $text:expr => $words:expr;)*) => {$(
         #[test]
@@ -129,7 +129,7 @@
         => "two quotas";
 }
 
-/// How a peer is written, and whether it is read.
+/// Generates tests of a peer, from its text and whether that is valid.
 macro_rules! peers {
     ($($name:ident: $text:expr => $good:expr;)*) => {$(
         #[test]
@@ -156,7 +156,7 @@
         let _ = Peer::parse(&text);
     }
 
-    /// A good file with a piece cut out or doubled.
+    /// Parses a valid file with a part cut out or repeated.
     #[test]
     fn a_mangled_file_is_read_or_gives_findings(from in 0usize..GOOD.len(), len in 0usize..80, twice: bool) {
         let to = (from + len).min(GOOD.len());
