--- a/components/clock/src/lib.rs
+++ b/components/clock/src/lib.rs
@@ -1,7 +1,7 @@
-//! Time in milliseconds, and the clocks that tell it.
+//! Time in milliseconds, and the clocks that measure it.
 //!
-//! Leases and timeouts are judged by a clock that never jumps back. Decision code never asks a
-//! clock: it is handed `now`, so that tests can drive it through pauses and drift.
+//! Leases and timeouts are measured by a clock that never jumps back. Decision code never reads a
+//! clock: it receives `now` as an argument, so that tests can simulate pauses and drift.
 
 mod millis;
 mod source;
--- a/components/clock/src/millis.rs
+++ b/components/clock/src/millis.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds: a point on some clock or a span between two points.
+/// A number of milliseconds: a point on some clock or a span between two points.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -14,10 +14,10 @@
 impl Millis {
     /// The zero point or the empty span.
     pub const ZERO: Millis = Millis(0);
-    /// A point that never comes.
+    /// A point in time that is never reached.
     pub const MAX: Millis = Millis(u64::MAX);
 
-    /// Gives the span from `earlier` to `self`, or zero if `earlier` lies later.
+    /// Returns the span from `earlier` to `self`, or zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Millis) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
@@ -27,7 +27,7 @@
         Millis(self.0.saturating_add((self.0.saturating_mul(percent)).div_ceil(100)))
     }
 
-    /// Gives the span for the standard library's timers.
+    /// Returns the span as a standard library `Duration`.
     pub fn duration(self) -> std::time::Duration {
         std::time::Duration::from_millis(self.0)
     }
--- a/components/clock/src/source.rs
+++ b/components/clock/src/source.rs
@@ -1,4 +1,4 @@
-//! Clocks: the system's, and one that tests move by hand.
+//! The system clock, and a clock that tests advance by hand.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -9,25 +9,25 @@
 
 /// A clock that never runs backwards within one process.
 pub trait Clock: Send + Sync {
-    /// Gives the time since some fixed point of this process.
+    /// Returns the time since a fixed point in the lifetime of this process.
     fn now(&self) -> Millis;
 }
 
-/// Where a [`SystemClock`] reads the time.
+/// A source from which a [`SystemClock`] reads the time.
 pub trait TimeSource: Send + Sync {
-    /// Gives the time since some fixed point, without the time that the machine was suspended.
+    /// Returns the time since some fixed point, without the time that the machine was suspended.
     fn monotonic(&self) -> Millis;
 
-    /// Gives the same with that time.
+    /// Returns the time since some fixed point, including the time that the machine was suspended.
     fn boottime(&self) -> Millis;
 }
 
-/// The operating system's own clocks.
+/// The clocks of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OsTime;
 
 fn read(id: ClockId) -> Millis {
-    // Both clocks are there on every Linux since 2.6.39, so reading them cannot fail.
+    // Both clocks exist on every Linux since 2.6.39, so reading them cannot fail.
     id.now().map_or(Millis::ZERO, |t| Millis(Duration::from(t).as_millis() as u64))
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// The system's clock, counted from its making. It goes on while the machine is suspended.
+/// The system clock, counted from its creation. It advances while the machine is suspended.
 #[derive(Debug)]
 pub struct SystemClock<S = OsTime> {
     source: S,
@@ -56,13 +56,13 @@
 }
 
 impl<S: TimeSource> SystemClock<S> {
-    /// Makes a clock that reads the time at a source.
+    /// Creates a clock that reads the time from a source.
     pub fn with_source(source: S) -> Self {
         let (started_awake, started) = (source.monotonic(), source.boottime());
         SystemClock { source, started_awake, started }
     }
 
-    /// Gives for how long the machine was suspended since the clock was made.
+    /// Returns for how long the machine was suspended since the clock was created.
     pub fn suspended(&self) -> Millis {
         let monotonic = self.source.monotonic().since(self.started_awake);
         self.now().since(monotonic)
@@ -71,19 +71,19 @@
 
 impl<S: TimeSource> Clock for SystemClock<S> {
     fn now(&self) -> Millis {
-        // Leases and promises run out while a machine is suspended, so that time must count.
+        // Leases and promises expire while a machine is suspended, so that time must count.
         self.source.boottime().since(self.started)
     }
 }
 
-/// A clock that stands still until it is moved.
+/// A clock that only advances when it is told to.
 #[derive(Debug, Default)]
 pub struct ManualClock {
     now: AtomicU64,
 }
 
 impl ManualClock {
-    /// Moves the clock forward by `span`.
+    /// Advances the clock by `span`.
     pub fn advance(&self, span: Millis) {
         self.now.fetch_add(span.0, Ordering::SeqCst);
     }
@@ -95,7 +95,7 @@
     }
 }
 
-/// Gives the wall clock since 1970. It may jump, so it only labels events and callers' keys.
+/// Returns the wall clock time since 1970. It may jump, so it is used only to label events and callers' keys.
 pub fn wall_now() -> Millis {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Millis(since.as_millis() as u64)
--- a/components/clock/tests/suspended.rs
+++ b/components/clock/tests/suspended.rs
@@ -1,12 +1,12 @@
-//! A machine may be suspended for seconds. A lease that was counted by a clock that stands still meanwhile would seem
-//! to last for as much longer: a leader that wakes up would go on leading beside the one elected in its absence.
+//! Tests that the system clock includes the time for which a machine was suspended. Otherwise a lease would appear to be
+//! valid for that much longer, and a leader that resumes would keep leading beside the one elected in the meantime.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use clock::{Clock, Millis, OsTime, SystemClock, TimeSource};
 
-/// A machine that tests let run and suspend.
+/// A time source for a simulated machine that tests run and suspend.
 #[derive(Clone, Default)]
 struct Machine {
     monotonic: Arc<AtomicU64>,
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_time_that_a_machine_was_suspended_counts() {
+fn the_clock_includes_the_suspended_time() {
     let machine = Machine::default();
     machine.suspend(500);
     let clock = SystemClock::with_source(machine.clone());
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn the_clock_knows_for_how_long_that_was() {
+fn the_clock_reports_the_suspended_time() {
     let machine = Machine::default();
     machine.suspend(500);
     let clock = SystemClock::with_source(machine.clone());
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn the_operating_system_tells_both_times() {
+fn the_operating_system_provides_both_clocks() {
     let monotonic = OsTime.monotonic();
     assert!(monotonic > Millis::ZERO);
     assert!(OsTime.boottime() >= monotonic);
--- a/components/errors/src/finding.rs
+++ b/components/errors/src/finding.rs
@@ -1,4 +1,4 @@
-//! Findings: faults in written input, each with the place where it stands.
+//! Findings: faults in user input, each with its position.
 
 use std::fmt;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use miette::Diagnostic;
 use thiserror::Error;
 
-/// Where a fault stands, in words that lead a person to it.
+/// The position of a fault, in a form that leads the user to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Place {
     /// A command-line flag, without its dashes.
@@ -15,7 +15,7 @@
     Variable(Arc<str>),
     /// A position in a file; line and column count from one.
     File {
-        /// The file's name as the user gave it.
+        /// The path of the file as the user gave it.
         path: Arc<str>,
         /// The line, counted from one.
         line: usize,
@@ -27,7 +27,7 @@
 }
 
 impl Place {
-    /// Gives the place of byte `offset` in `text`, read from `path`.
+    /// Returns the position of byte `offset` in `text`, which was read from `path`.
     pub fn in_text(path: &str, text: &str, offset: usize) -> Place {
         let before = text.get(..offset).unwrap_or(text);
         let line = before.matches('\n').count() + 1;
@@ -47,37 +47,37 @@
     }
 }
 
-/// One fault, its place, and what the user can do about it.
+/// A fault with its position and, if known, what the user can do about it.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Diagnostic)]
 #[error("{place}: {message}")]
 pub struct Finding {
-    /// Where the fault stands.
+    /// The position of the fault.
     pub place: Place,
-    /// What is wrong.
+    /// The description of the fault.
     pub message: String,
-    /// What to write instead, if that can be said.
+    /// A suggestion of what to write instead, if there is one.
     #[help]
     pub help: Option<String>,
 }
 
 impl Finding {
-    /// Makes a finding without advice.
+    /// Creates a finding without a suggestion.
     pub fn new(place: Place, message: impl Into<String>) -> Finding {
         Finding { place, message: message.into(), help: None }
     }
 
-    /// Adds advice on what to write instead.
+    /// Adds a suggestion of what to write instead.
     pub fn with_help(mut self, help: impl Into<String>) -> Finding {
         self.help = Some(help.into());
         self
     }
 }
 
-/// All the faults of one input, reported together.
+/// All faults of one input, reported together.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Error, Diagnostic)]
 #[error("{} found; nothing was started or changed", count(list.len()))]
 pub struct Findings {
-    /// The faults in the order in which they were met.
+    /// The faults in the order in which they were found.
     #[related]
     pub list: Vec<Finding>,
 }
@@ -95,7 +95,10 @@
         self.list.push(finding);
     }
 
-    /// Gives `value` if there was no fault, else all the findings.
+    /// Returns `value` if there are no faults.
+    ///
+    /// # Errors
+    /// Returns all findings if there is at least one.
     pub fn into_result<T>(self, value: T) -> Result<T, Findings> {
         if self.list.is_empty() { Ok(value) } else { Err(self) }
     }
--- a/components/errors/src/kinds.rs
+++ b/components/errors/src/kinds.rs
@@ -1,4 +1,4 @@
-//! The errors that a running program meets.
+//! The errors that can occur while a program runs.
 
 use std::path::{Path, PathBuf};
 
@@ -10,25 +10,25 @@
 /// The result type of fallible functions in heathvale.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// What went wrong, in terms a user can act on.
+/// An error, described in terms that a user can act on.
 #[derive(Debug, Error, Diagnostic)]
 pub enum Error {
-    /// Written input was faulty.
+    /// User input had faults.
     #[error(transparent)]
     #[diagnostic(transparent)]
     Findings(#[from] Findings),
     /// A file could not be read or written.
     #[error("cannot {action} {}", path.display())]
     Io {
-        /// What was tried, as a verb.
+        /// The attempted action, as a verb.
         action: &'static str,
-        /// The file or folder concerned.
+        /// The affected file or folder.
         path: PathBuf,
-        /// The system's answer.
+        /// The error of the operating system.
         #[source]
         source: std::io::Error,
     },
-    /// A synced record no longer reads back as it was written.
+    /// A record that was synced to disk does not read back as it was written.
     #[error("{} is damaged at byte {offset}: {reason}", path.display())]
     #[diagnostic(help(
         "move the data folder away and start again: the instance is then readmitted as a learner \
@@ -37,31 +37,31 @@
     Damaged {
         /// The damaged file.
         path: PathBuf,
-        /// Where the damaged record starts.
+        /// The offset at which the damaged record starts.
         offset: u64,
-        /// What did not match.
+        /// The check that failed.
         reason: String,
     },
-    /// Bytes from outside did not decode.
+    /// Bytes from outside the process could not be decoded.
     #[error("cannot decode {what}: {reason}")]
     Decode {
         /// What was being decoded.
         what: &'static str,
-        /// Why it failed.
+        /// The reason for the failure.
         reason: String,
     },
-    /// A link to another process failed.
+    /// A connection to another process failed.
     #[error("cannot reach {target}: {reason}")]
     Unreachable {
-        /// The process or address.
+        /// The process or address that was called.
         target: String,
-        /// Why it failed.
+        /// The reason for the failure.
         reason: String,
     },
-    /// The other side refused a call.
+    /// The remote process refused a call.
     #[error("refused: {0}")]
     Refused(String),
-    /// A check of a demonstration or proof failed.
+    /// A check of a demonstration or test tool failed.
     #[error("check failed: {0}")]
     Check(String),
 }
--- a/components/errors/src/lib.rs
+++ b/components/errors/src/lib.rs
@@ -1,7 +1,7 @@
 //! The error types shared by every crate of heathvale.
 //!
-//! Faults in what a person wrote (settings, job files, configuration) are collected as
-//! [`Finding`]s with their place and reported together, so that one run shows all of them.
+//! Faults in user input (settings, job files, configuration) are collected as [`Finding`]s with their
+//! position and reported together, so that one run shows all of them.
 
 mod finding;
 mod kinds;
