--- a/components/model/src/answer.rs
+++ b/components/model/src/answer.rs
@@ -53,6 +53,6 @@
     },
     /// It ran, and the upstream reported a failure.
     Failed(Name),
-    /// It may or may not have run.
+    /// It may have run; heathvale cannot determine whether it did.
     MayHaveRun(Name),
 }
--- a/components/model/src/config.rs
+++ b/components/model/src/config.rs
@@ -34,7 +34,8 @@
     pub upstream_slots: u32,
     /// The number of connections that one upstream accepts, over all instances.
     pub upstream_connections: u32,
-    /// The maximum number of entry instances in a zone. The slots of an upstream are divided into that many shares.
+    /// The maximum number of entry instances in a zone. The slots and connections of an upstream are
+    /// divided into that many shares.
     pub instances_per_zone: u32,
     /// The maximum time that a request may wait in an instance before it is refused.
     pub queue_limit: Millis,
--- a/components/model/src/size.rs
+++ b/components/model/src/size.rs
@@ -54,7 +54,7 @@
         Dimension::ALL.iter().all(|&d| self.get(d) <= capacity.get(d))
     }
 
-    /// Returns how many times `self` fits into `capacity` as a whole; [`u64::MAX`] if `self` is zero.
+    /// Returns how many times `self` fits into `capacity`, as if that were a single worker; [`u64::MAX`] if `self` is zero.
     pub fn copies_in(&self, capacity: &Size) -> u64 {
         let per = |needed: u64, available: u64| available.checked_div(needed).unwrap_or(u64::MAX);
         per(self.cpu_milli, capacity.cpu_milli)
--- a/components/model/tests/files.rs
+++ b/components/model/tests/files.rs
@@ -131,10 +131,10 @@
 
 /// Generates tests of a peer, from its text and whether that is valid.
 macro_rules! peers {
-    ($($name:ident: $text:expr => $good:expr;)*) => {$(
+    ($($name:ident: $text:expr => $valid:expr;)*) => {$(
         #[test]
         fn $name() {
-            assert_eq!(Peer::parse($text).is_ok(), $good, "{:?}", Peer::parse($text));
+            assert_eq!(Peer::parse($text).is_ok(), $valid, "{:?}", Peer::parse($text));
         }
     )*};
 }
--- a/components/workload/src/ids.rs
+++ b/components/workload/src/ids.rs
@@ -93,8 +93,8 @@
 pub struct WorkerId(pub Arc<str>);
 
 impl WorkerId {
-    /// Creates an id from a name and an incarnation, a number that is unique under this name. Incarnations are not
-    /// ordered by it, since a worker takes it from its wall clock, which may jump back.
+    /// Creates an id from a name and an incarnation, a number that is unique under this name. The number does
+    /// not order incarnations in time, since a worker takes it from its wall clock.
     pub fn with_incarnation(name: &str, incarnation: Option<u64>) -> WorkerId {
         match incarnation {
             Some(incarnation) => WorkerId(format!("{name}{SEPARATOR}{incarnation}").into()),
