--- a/components/workload/src/crashes.rs
+++ b/components/workload/src/crashes.rs
@@ -53,9 +53,9 @@
     /// The number of these that crashed while its run was young.
     while_young: u16,
     /// The number of its runs that have lapsed on workers that may or may not have survived.
-    unresolved_lapses: u16,
+    open_lapses: u16,
     /// The number of these whose worker alone lost contact.
-    unresolved_silent_alone: u16,
+    open_silent_alone: u16,
     /// The last run that was counted.
     last_run: u32,
 }
@@ -92,13 +92,11 @@
     /// Returns whether a task must wait until the fate of its workers is known: counting its runs that have lapsed on
     /// workers without contact since and its uncertain losses, enough workers may have crashed under it to give it up.
     pub(crate) fn must_wait_with(&self, task: &TaskKey, uncertain: u16) -> bool {
-        let Some(r) = self.records.get(task).filter(|r| r.unresolved_lapses > 0) else {
-            return false;
-        };
+        let Some(r) = self.records.get(task).filter(|r| r.open_lapses > 0) else { return false };
         // Of workers that lose contact together most survive, so a task waits for them only at the overall limit.
         let may_be_given_up =
-            r.unresolved_silent_alone > 0 && r.crashes + r.unresolved_silent_alone >= MAX_CRASHES;
-        may_be_given_up || r.crashes + r.unresolved_lapses + uncertain >= MAX_TOTAL_CRASHES
+            r.open_silent_alone > 0 && r.crashes + r.open_silent_alone >= MAX_CRASHES;
+        may_be_given_up || r.crashes + r.open_lapses + uncertain >= MAX_TOTAL_CRASHES
     }
 
     /// Returns the tasks under which workers have crashed, with the number of crashes.
@@ -146,8 +144,8 @@
         }
         for (task, _) in crash_suspects.runs() {
             let record = self.records.entry(*task).or_default();
-            record.unresolved_lapses += 1;
-            record.unresolved_silent_alone += u16::from(crash_suspects.silent_alone);
+            record.open_lapses += 1;
+            record.open_silent_alone += u16::from(crash_suspects.silent_alone);
         }
         self.lapsed.insert(worker.clone(), crash_suspects);
     }
@@ -157,11 +155,10 @@
         let crash_suspects = self.lapsed.remove(worker).unwrap_or_default();
         for (task, _) in crash_suspects.runs() {
             let Some(record) = self.records.get_mut(task) else { continue };
-            record.unresolved_lapses = record.unresolved_lapses.saturating_sub(1);
-            record.unresolved_silent_alone = record
-                .unresolved_silent_alone
-                .saturating_sub(u16::from(crash_suspects.silent_alone));
-            if record.crashes == 0 && record.unresolved_lapses == 0 {
+            record.open_lapses = record.open_lapses.saturating_sub(1);
+            record.open_silent_alone =
+                record.open_silent_alone.saturating_sub(u16::from(crash_suspects.silent_alone));
+            if record.crashes == 0 && record.open_lapses == 0 {
                 self.records.remove(task);
             }
         }
@@ -173,7 +170,7 @@
         let Some(record) = self.records.get_mut(task) else { return };
         record.crashes = 0;
         record.while_young = 0;
-        if record.unresolved_lapses == 0 {
+        if record.open_lapses == 0 {
             self.records.remove(task);
         }
     }
