--- a/components/dispatch/src/call_handling.rs
+++ b/components/dispatch/src/call_handling.rs
@@ -92,7 +92,7 @@
             (_, Ok(id)) if !self.may_access(queue, &caller, id) => Answer::NoJob,
             (Verb::Submit(spec), Ok(id)) => self.submit(m, (queue, caller), id, spec),
             (Verb::Submit(_), Err(_)) => Answer::Invalid("the id is not 16 hex digits".into()),
-            (Verb::Query, Ok(id)) => self.look(id),
+            (Verb::Query, Ok(id)) => self.query(id),
             (Verb::Cancel, Ok(id)) => self.cancel(m, id),
             (_, Err(_)) => Answer::NoJob,
         }
@@ -166,7 +166,7 @@
         Some(Answer::Invalid(message.into()))
     }
 
-    fn look(&self, id: JobId) -> Answer {
+    fn query(&self, id: JobId) -> Answer {
         self.replicated.job(id).map_or(Answer::NoJob, |job| Answer::State(job.state))
     }
 
--- a/components/dispatch/src/dispatcher.rs
+++ b/components/dispatch/src/dispatcher.rs
@@ -30,7 +30,7 @@
 
 /// An action that is held until a batch is committed.
 #[derive(Clone, Debug)]
-enum Gated {
+enum HeldAction {
     Reply { token: Token, answer: Answer },
     Start { worker: WorkerId, task: TaskKey, run: u32 },
     Stop { worker: WorkerId, task: TaskKey, run: u32 },
@@ -81,15 +81,15 @@
     batch_number: u64,
     /// The number of the last batch known to be committed.
     committed: u64,
-    gated: VecDeque<(u64, Gated)>,
+    held: VecDeque<(u64, HeldAction)>,
     actions: Vec<Action>,
-    forget_at: Millis,
+    clean_up_at: Millis,
     /// The earliest time for the next log line about a call without a key.
     pub(crate) next_key_log_at: Millis,
     /// The position in the rotation of the steps that have long lacked a call for advice.
     pub(crate) aged_rotation: usize,
     /// The time of the last input.
-    moment: Moment,
+    last_input: Moment,
     /// Whether something since the last plan may let a task start.
     pub(crate) plan_due: bool,
     /// The earliest time for the next plan. It is later the longer the last plan took.
@@ -109,7 +109,7 @@
     /// Creates a dispatcher that takes over from the previous leader.
     pub fn new(setup: Setup, m: Moment) -> Dispatcher {
         let Setup { limits, term, reader, replicated } = setup;
-        let mut d = Dispatcher {
+        let mut dispatcher = Dispatcher {
             limits,
             term,
             reader,
@@ -129,12 +129,12 @@
             batch: Vec::new(),
             batch_number: 1,
             committed: 0,
-            gated: VecDeque::new(),
+            held: VecDeque::new(),
             actions: Vec::new(),
-            forget_at: m.now,
+            clean_up_at: m.now,
             next_key_log_at: m.now,
             aged_rotation: 0,
-            moment: m,
+            last_input: m,
             plan_due: true,
             plan_at: m.now,
             plan_state: PlanState::default(),
@@ -142,12 +142,12 @@
             long_running_waits: LongRunningWaits::default(),
             wait_logger: WaitLogger::default(),
         };
-        d.inherit(m);
-        d
+        dispatcher.restore(m);
+        dispatcher
     }
 
     /// Restores the configuration, the workers and their runs from the replicated state.
-    fn inherit(&mut self, m: Moment) {
+    fn restore(&mut self, m: Moment) {
         let document = self.replicated.document().clone();
         if document.version > 0 {
             match self.reader.read(&document.text) {
@@ -158,8 +158,8 @@
             }
         }
         // The previous leader may have granted its longest lease just now.
-        let longest = self.limits.max_lease.plus_percent(MAX_CLOCK_DRIFT_PERCENT);
-        let lapses_at = m.now + longest + LEASE_EXPIRY_MARGIN;
+        let max_lease = self.limits.max_lease.plus_percent(MAX_CLOCK_DRIFT_PERCENT);
+        let lapses_at = m.now + max_lease + LEASE_EXPIRY_MARGIN;
         for (id, worker) in self.replicated.workers() {
             let mut view = WorkerView::new(m.now, lapses_at);
             for (task, run) in &worker.runs {
@@ -181,13 +181,13 @@
         self.accepted = jobs.clone().map(|(id, j)| (*id, accepted_at(j))).collect();
         jobs.for_each(|(id, j)| self.long_running_waits.add_job(*id, &j.spec));
         self.long_running_waits.update(m, &self.replicated);
-        let going_on = self.replicated.jobs().iter().filter(|(_, j)| j.placed() > 0);
-        self.jobs_to_clean_up.extend(going_on.map(|(id, _)| *id));
+        let with_runs = self.replicated.jobs().iter().filter(|(_, j)| j.placed() > 0);
+        self.jobs_to_clean_up.extend(with_runs.map(|(id, _)| *id));
     }
 
     /// Handles an input.
     pub fn handle(&mut self, m: Moment, input: Input) {
-        self.moment = m;
+        self.last_input = m;
         match input {
             Input::Tick => {
                 self.plan_due = true;
@@ -195,7 +195,7 @@
             }
             Input::Committed(batch) => self.on_committed(m, batch),
             Input::Call { token, call } => self.on_call(m, token, call),
-            Input::Announcement(news) => self.on_announcement(m, news),
+            Input::Announcement(announcement) => self.on_announcement(m, announcement),
             Input::Left(worker) => self.on_left(m, &worker),
             Input::Renewed { worker, sent_at, result } => {
                 self.on_renewed(m, &worker, sent_at, result);
@@ -209,7 +209,7 @@
             Input::Advised { id, valid, allowed } => {
                 self.plan_due |= self.advice_scheduler.answered(m.now, id, valid, allowed);
             }
-            Input::AdviceCallers(helpers) => self.advice_scheduler.set_callers(helpers),
+            Input::AdviceCallers(callers) => self.advice_scheduler.set_callers(callers),
         }
     }
 
@@ -217,7 +217,7 @@
     /// immediately and, if there are commands to append to the log, the number of their batch and
     /// the commands.
     pub fn decide(&mut self, m: Moment) -> (Option<(u64, Vec<Command>)>, Vec<Action>) {
-        self.moment = m;
+        self.last_input = m;
         if m.now < m.leads_until {
             self.stop_unwanted();
             if self.plan_due && m.now >= self.plan_at {
@@ -261,12 +261,12 @@
 
     /// Returns the time of the last input by the monotonic clock.
     pub(crate) fn now(&self) -> Millis {
-        self.moment.now
+        self.last_input.now
     }
 
     /// Returns the time of the last input by the wall clock.
     pub(crate) fn wall(&self) -> Millis {
-        self.moment.wall
+        self.last_input.wall
     }
 
     pub(crate) fn act(&mut self, action: Action) {
@@ -288,46 +288,46 @@
 
     /// Answers a call once everything the answer may depend on is committed.
     pub(crate) fn reply(&mut self, token: Token, answer: Answer) {
-        self.hold_back(Gated::Reply { token, answer });
+        self.hold_until_committed(HeldAction::Reply { token, answer });
     }
 
     pub(crate) fn start_when_committed(&mut self, worker: WorkerId, task: TaskKey, run: u32) {
-        self.hold_back(Gated::Start { worker, task, run });
+        self.hold_until_committed(HeldAction::Start { worker, task, run });
     }
 
     pub(crate) fn stop_when_committed(&mut self, worker: WorkerId, task: TaskKey, run: u32) {
-        self.hold_back(Gated::Stop { worker, task, run });
+        self.hold_until_committed(HeldAction::Stop { worker, task, run });
     }
 
     pub(crate) fn renew_when_committed(&mut self, worker: WorkerId) {
-        self.hold_back(Gated::Renew { worker });
+        self.hold_until_committed(HeldAction::Renew { worker });
     }
 
-    fn hold_back(&mut self, gated: Gated) {
+    fn hold_until_committed(&mut self, action: HeldAction) {
         let last = match self.batch.is_empty() {
             true => self.batch_number - 1,
             false => self.batch_number,
         };
-        self.gated.push_back((last, gated));
+        self.held.push_back((last, action));
         // Actions that depend on no uncommitted command are released immediately.
         if last <= self.committed {
-            self.gated_out(self.moment);
+            self.release_held(self.last_input);
         }
     }
 
     fn on_committed(&mut self, m: Moment, batch: u64) {
         self.committed = self.committed.max(batch);
-        self.gated_out(m);
+        self.release_held(m);
     }
 
-    fn gated_out(&mut self, m: Moment) {
-        while self.gated.front().is_some_and(|(n, _)| *n <= self.committed) {
-            let Some((_, gated)) = self.gated.pop_front() else { return };
-            match gated {
-                Gated::Reply { token, answer } => self.reply_now(token, answer),
-                Gated::Start { worker, task, run } => self.send_start(m, &worker, &task, run),
-                Gated::Stop { worker, task, run } => self.send_stop(&worker, &task, run),
-                Gated::Renew { worker } => self.send_renewal(m, &worker),
+    fn release_held(&mut self, m: Moment) {
+        while self.held.front().is_some_and(|(n, _)| *n <= self.committed) {
+            let Some((_, action)) = self.held.pop_front() else { return };
+            match action {
+                HeldAction::Reply { token, answer } => self.reply_now(token, answer),
+                HeldAction::Start { worker, task, run } => self.send_start(m, &worker, &task, run),
+                HeldAction::Stop { worker, task, run } => self.send_stop(&worker, &task, run),
+                HeldAction::Renew { worker } => self.send_renewal(m, &worker),
             }
         }
     }
@@ -336,14 +336,14 @@
         self.advice_scheduler.expire(m.now);
         self.maintain_workers(m);
         self.clear_suspects(m);
-        if m.now >= self.forget_at {
-            self.forget_at = m.now + CLEANUP_INTERVAL;
-            self.forget(m);
+        if m.now >= self.clean_up_at {
+            self.clean_up_at = m.now + CLEANUP_INTERVAL;
+            self.clean_up(m);
         }
     }
 
     /// Drops state that is no longer needed.
-    fn forget(&mut self, m: Moment) {
+    fn clean_up(&mut self, m: Moment) {
         self.unconfigured_workers.forget_old(m.now);
         self.log_partial_gangs();
         let before = m.wall.since(self.limits.job_retention);
@@ -352,10 +352,10 @@
             self.propose(Command::Forget { before });
         }
         let replicated = &self.replicated;
-        let goes_on = |id: &JobId| replicated.job(*id).is_some_and(|j| !j.state.is_final());
-        self.advice_scheduler.retain(|k| goes_on(&k.job));
-        self.accepted.retain(|id, _| goes_on(id));
-        self.avoided_workers.retain(|k, _| goes_on(&k.step.job));
-        self.step_speeds.retain(|k, _| goes_on(&k.job));
+        let is_unfinished = |id: &JobId| replicated.job(*id).is_some_and(|j| !j.state.is_final());
+        self.advice_scheduler.retain(|k| is_unfinished(&k.job));
+        self.accepted.retain(|id, _| is_unfinished(id));
+        self.avoided_workers.retain(|k, _| is_unfinished(&k.step.job));
+        self.step_speeds.retain(|k, _| is_unfinished(&k.job));
     }
 }
--- a/components/dispatch/src/figures.rs
+++ b/components/dispatch/src/figures.rs
@@ -79,28 +79,30 @@
             used: self.replicated.ownership().used(&o.name),
             ..OrganisationFigures::default()
         };
-        let mut of: BTreeMap<Name, OrganisationFigures> = organisations
+        let mut by_organisation: BTreeMap<Name, OrganisationFigures> = organisations
             .flat_map(|all| all.iter())
             .map(|o| (o.name.clone(), figures(o)))
             .collect();
         for entry in self.replicated.open() {
             let owner = self.replicated.ownership().owner(entry.key.job);
-            let Some(figures) = owner.and_then(|name| of.get_mut(name)) else { continue };
+            let Some(figures) = owner.and_then(|name| by_organisation.get_mut(name)) else {
+                continue;
+            };
             figures.open_steps += 1;
             figures.steps_at_limit += u64::from(self.is_at_limit(&entry.key));
         }
-        of
+        by_organisation
     }
 
     /// Returns the gauges of the cell.
     pub fn figures(&self) -> Figures {
         let settled = |o: &Order| matches!(o.stage, Stage::Confirmed { .. });
         let orders = self.worker_views.values().flat_map(|v| v.orders.values());
-        let reached = self.worker_views.iter().filter(|(_, v)| v.in_contact);
-        let reached: Vec<&Worker> =
-            reached.filter_map(|(id, _)| self.replicated.worker(id)).collect();
-        let lasting: Vec<Millis> = self.long_running_waiting().map(|(_, since)| since).collect();
-        let longest = lasting.iter().min().map_or(Millis::ZERO, |since| self.now().since(*since));
+        let in_contact = self.worker_views.iter().filter(|(_, v)| v.in_contact);
+        let in_contact: Vec<&Worker> =
+            in_contact.filter_map(|(id, _)| self.replicated.worker(id)).collect();
+        let waits: Vec<Millis> = self.long_running_waiting().map(|(_, since)| since).collect();
+        let longest = waits.iter().min().map_or(Millis::ZERO, |since| self.now().since(*since));
         let sum = |a: Size, b: &Size| a.plus(b);
         Figures {
             jobs: self.replicated.jobs().len() as u64,
@@ -108,42 +110,43 @@
             runs: self.replicated.workers().values().map(|w| w.runs.len() as u64).sum(),
             orders_unsettled: orders.filter(|o| !settled(o)).count() as u64,
             workers: self.worker_views.len() as u64,
-            workers_in_contact: reached.len() as u64,
-            capacity: reached.iter().map(|w| &w.info.capacity).fold(Size::ZERO, sum),
-            used: reached.iter().map(|w| &w.used).fold(Size::ZERO, sum),
+            workers_in_contact: in_contact.len() as u64,
+            capacity: in_contact.iter().map(|w| &w.info.capacity).fold(Size::ZERO, sum),
+            used: in_contact.iter().map(|w| &w.used).fold(Size::ZERO, sum),
             scans: self.plan_state.scans,
             advice_callers: self.advice_scheduler.callers() as u64,
             advice_callers_busy: self.advice_scheduler.busy_callers() as u64,
             steps_without_caller: self.plan_state.without_caller,
             steps_not_examined: self.plan_state.not_examined,
             quarantined_workers: self.quarantined_workers().count() as u64,
-            long_running_waiting: lasting.len() as u64,
+            long_running_waiting: waits.len() as u64,
             long_running_max_wait: longest,
         }
     }
 
     /// Returns the gauges of each service that is configured or has workers.
     pub fn service_figures(&self) -> BTreeMap<Name, ServiceFigures> {
-        let mut of: BTreeMap<Name, ServiceFigures> = BTreeMap::new();
+        let mut by_service: BTreeMap<Name, ServiceFigures> = BTreeMap::new();
         let configured = self.policy.iter().flat_map(|p| &p.services).map(|s| &s.name);
         let present = self.replicated.workers().values().map(|w| &w.info.service);
         for service in configured.chain(present) {
-            of.entry(service.clone()).or_default();
+            by_service.entry(service.clone()).or_default();
         }
         for worker in self.quarantined_workers() {
-            of.entry(worker.info.service.clone()).or_default().quarantined_workers += 1;
+            by_service.entry(worker.info.service.clone()).or_default().quarantined_workers += 1;
         }
         for (task, _) in self.long_running_waiting() {
             let Some(job) = self.replicated.job(task.step.job) else { continue };
-            of.entry(job.service.clone()).or_default().long_running_waiting += 1;
+            by_service.entry(job.service.clone()).or_default().long_running_waiting += 1;
         }
-        of
+        by_service
     }
 
     fn quarantined_workers(&self) -> impl Iterator<Item = &Worker> {
         let now = self.now();
-        let aside = move |v: &WorkerView| v.health.is_quarantined(now);
-        let ids = self.worker_views.iter().filter(move |(_, v)| aside(v)).map(|(id, _)| id);
+        let is_quarantined = move |v: &WorkerView| v.health.is_quarantined(now);
+        let ids =
+            self.worker_views.iter().filter(move |(_, v)| is_quarantined(v)).map(|(id, _)| id);
         ids.filter_map(|id| self.replicated.worker(id))
     }
 
@@ -153,7 +156,7 @@
 
     /// Returns whether a task that waited at the start of the last plan still waits.
     pub(crate) fn still_waits(&self, task: &TaskKey) -> bool {
-        let goes_on = self.replicated.job(task.step.job).is_some_and(|j| !j.state.is_final());
-        goes_on && self.replicated.task(task).is_some_and(|t| t.at.is_none())
+        let is_unfinished = self.replicated.job(task.step.job).is_some_and(|j| !j.state.is_final());
+        is_unfinished && self.replicated.task(task).is_some_and(|t| t.at.is_none())
     }
 }
--- a/components/dispatch/src/incarnations.rs
+++ b/components/dispatch/src/incarnations.rs
@@ -12,13 +12,13 @@
 use crate::worker_view::Stage;
 
 impl Dispatcher {
-    /// Returns whether an incarnation of this worker is known by its number.
+    /// Returns whether any incarnation of this worker is known that has reported its number.
     pub(crate) fn knows_incarnation(&self, worker: &WorkerId) -> bool {
         let first = worker.incarnation_prefix();
         let prefix = first.0.clone();
         let ids = self.worker_views.range(first..).map(|(id, _)| id);
-        let mut lives = ids.take_while(|id| id.0.starts_with(prefix.as_ref()));
-        lives.any(|id| id.name() == worker.name() && id.incarnation().is_some())
+        let mut incarnations = ids.take_while(|id| id.0.starts_with(prefix.as_ref()));
+        incarnations.any(|id| id.name() == worker.name() && id.incarnation().is_some())
     }
 
     /// Handles an announcement that names an incarnation. An incarnation keeps its address, so one
@@ -27,9 +27,9 @@
         if self.worker_views.contains_key(&info.id) {
             return;
         }
-        let untold = info.id.without_incarnation();
-        if self.replicated.worker(&untold).is_some_and(|w| w.info.address == info.address) {
-            self.assign_incarnation(m, &untold, info.id.clone());
+        let unnumbered = info.id.without_incarnation();
+        if self.replicated.worker(&unnumbered).is_some_and(|w| w.info.address == info.address) {
+            self.assign_incarnation(m, &unnumbered, info.id.clone());
         }
     }
 
@@ -37,24 +37,29 @@
     /// incarnation. As after a change of leader, its first report shows which of the runs belong to
     /// that incarnation. Run ends are numbered per incarnation, and the last number in the log may
     /// belong to an earlier one, so the numbering starts again.
-    pub(crate) fn assign_incarnation(&mut self, m: Moment, worker: &WorkerId, life: WorkerId) {
+    pub(crate) fn assign_incarnation(
+        &mut self,
+        m: Moment,
+        worker: &WorkerId,
+        incarnation: WorkerId,
+    ) {
         let Some(Worker { info, runs, .. }) = self.replicated.worker(worker).cloned() else {
             return;
         };
         let Some(mut view) = self.worker_views.remove(worker) else { return };
         let runs: Vec<(TaskKey, u32)> = runs.into_iter().collect();
-        self.propose(Command::WorkerJoined(WorkerInfo { id: life.clone(), ..info }));
+        self.propose(Command::WorkerJoined(WorkerInfo { id: incarnation.clone(), ..info }));
         self.propose(Command::NotStarted { worker: worker.clone(), runs: runs.clone() });
-        self.propose(Command::Started { worker: life.clone(), runs });
+        self.propose(Command::Started { worker: incarnation.clone(), runs });
         self.propose(Command::WorkerGone { worker: worker.clone(), saved: Vec::new() });
         view.reset_calls(m.now);
         let held = view.orders.iter().filter(|(_, o)| o.stage == Stage::Held);
         let held: Vec<(TaskKey, u32)> = held.map(|(task, o)| (*task, o.run)).collect();
-        self.worker_views.insert(life.clone(), view);
+        self.worker_views.insert(incarnation.clone(), view);
         for (task, run) in held {
-            self.start_when_committed(life.clone(), task, run);
+            self.start_when_committed(incarnation.clone(), task, run);
         }
-        self.clean_up_runs_of(&life);
-        self.log_event(&kinds::WORKER_JOINED, &life, format!("was={worker}"));
+        self.clean_up_runs_of(&incarnation);
+        self.log_event(&kinds::WORKER_JOINED, &incarnation, format!("was={worker}"));
     }
 }
--- a/components/dispatch/src/losses.rs
+++ b/components/dispatch/src/losses.rs
@@ -2,7 +2,7 @@
 //! worker by chance.
 //!
 //! A rack that loses power, or a restart of many workers, ends the workers whatever runs on them. A
-//! faulty run is told from a healthy one by how many workers without any run of its job were lost
+//! faulty run differs from a healthy one in how many workers without any run of its job were lost
 //! together with its own. If there are more than faulty tasks can crash by themselves, the losses
 //! have another cause, which was as likely to hit this run as any other.
 
@@ -72,16 +72,18 @@
     /// It depends on when other workers of its service that run nothing of its job were lost, and
     /// on how many there are. The weight is proportional to the logarithm of the chance, so weights
     /// of independent losses add up as their chances multiply.
-    pub(crate) fn weight(&self, others: &[OtherLoss], among: usize) -> u16 {
+    pub(crate) fn weight(&self, others: &[OtherLoss], worker_count: usize) -> u16 {
         let unrelated = others.iter().filter(|o| !o.is_related).count();
-        let among = among.max(unrelated).max(1) as f64;
+        let worker_count = worker_count.max(unrelated).max(1) as f64;
         let share = match self.at.detection {
-            LossDetection::ConnectionBroken => share_of(self.lost_in_a_row(others, among), among),
-            LossDetection::TimedOut => share_of(self.lost_silently(others), among),
+            LossDetection::ConnectionBroken => {
+                excess_loss_share(self.lost_in_series(others, worker_count), worker_count)
+            }
+            LossDetection::TimedOut => excess_loss_share(self.lost_silently(others), worker_count),
             LossDetection::BeforeTerm => return FULL_WEIGHT,
         };
         let together = chance(share, self.workers);
-        let by_rate = chance(self.share_lost_meanwhile(others, among), self.workers);
+        let by_rate = chance(self.expected_loss_share(others, worker_count), self.workers);
         let by_rate = if by_rate >= MIN_CHANCE_TO_EXCUSE { by_rate } else { 0.0 };
         let chance = together.max(by_rate).max(f64::MIN_POSITIVE);
         let weight = (chance.ln() / MAX_CHANCE_FOR_FULL_WEIGHT.ln()).clamp(0.0, 1.0);
@@ -90,72 +92,73 @@
 
     /// Returns the number of unrelated workers lost in an uninterrupted series with this run's
     /// worker, faster than faulty tasks crash workers.
-    fn lost_in_a_row(&self, others: &[OtherLoss], among: f64) -> usize {
-        let longest = longest_gap(among);
-        let at_once = others.iter().filter(|o| o.at.detection == LossDetection::ConnectionBroken);
+    fn lost_in_series(&self, others: &[OtherLoss], worker_count: f64) -> usize {
+        let max_gap = max_gap(worker_count);
+        let with_broken_connection =
+            others.iter().filter(|o| o.at.detection == LossDetection::ConnectionBroken);
         let (mut before, mut after): (Vec<OtherLoss>, Vec<OtherLoss>) =
-            at_once.partition(|o| o.at.silent_since <= self.at.silent_since);
+            with_broken_connection.partition(|o| o.at.silent_since <= self.at.silent_since);
         before.sort_unstable_by_key(|o| Reverse(o.at.silent_since));
         after.sort_unstable_by_key(|o| o.at.silent_since);
         let since = self.at.silent_since;
-        unrelated_in_a_row(since, &before, longest) + unrelated_in_a_row(since, &after, longest)
+        unrelated_in_series(since, &before, max_gap) + unrelated_in_series(since, &after, max_gap)
     }
 
     /// Returns the number of unrelated workers that fell silent without a broken connection, as
     /// machines do that lose power or are cut off, within the time that renewals take to show it.
     fn lost_silently(&self, others: &[OtherLoss]) -> usize {
-        let by_limit =
+        let timed_out =
             others.iter().filter(|o| o.at.detection == LossDetection::TimedOut && !o.is_related);
-        by_limit
-            .filter(|o| apart(o.at.silent_since, self.at.silent_since) <= MAX_BUSY_RENEWAL_WAIT)
+        timed_out
+            .filter(|o| distance(o.at.silent_since, self.at.silent_since) <= MAX_BUSY_RENEWAL_WAIT)
             .count()
     }
 
-    /// Returns the fraction of workers expected to be lost during the age of the run, at the loss
-    /// rate just before it.
-    fn share_lost_meanwhile(&self, others: &[OtherLoss], among: f64) -> f64 {
+    /// Returns the fraction of workers expected to be lost during the age of the run, at the rate
+    /// of recent losses.
+    fn expected_loss_share(&self, others: &[OtherLoss], worker_count: f64) -> f64 {
         let since = self.at.silent_since;
-        let lately = |o: &&OtherLoss| {
+        let is_recent = |o: &&OtherLoss| {
             let at = o.at.silent_since;
             !o.is_related && at <= since && since.since(at) < LOSS_RATE_WINDOW
         };
-        let lost = others.iter().filter(lately).count() as f64;
+        let lost = others.iter().filter(is_recent).count() as f64;
         let ran = since.since(self.began).0 as f64;
-        (lost / among * ran / LOSS_RATE_WINDOW.0 as f64).min(1.0)
+        (lost / worker_count * ran / LOSS_RATE_WINDOW.0 as f64).min(1.0)
     }
 }
 
 /// Returns the distance between two times.
-fn apart(a: Millis, b: Millis) -> Millis {
+fn distance(a: Millis, b: Millis) -> Millis {
     a.since(b).max(b.since(a))
 }
 
 /// Returns the fraction of workers that were lost, less the losses that are expected to coincide
 /// with one caused by faulty tasks. A single loss is ignored, since one coincides now and then in a
 /// fleet of any size.
-fn share_of(lost: usize, among: f64) -> f64 {
+fn excess_loss_share(lost: usize, worker_count: f64) -> f64 {
     if lost < 2 {
         return 0.0;
     }
-    let both_sides = 2.0 * longest_gap(among).0 as f64 / 1_000.0;
-    let coincide = (among * MAX_LOST_TO_TASKS_PER_SECOND * both_sides).min(1.0);
-    (lost as f64 - coincide) / (among - coincide).max(1.0)
+    let both_sides = 2.0 * max_gap(worker_count).0 as f64 / 1_000.0;
+    let coinciding = (worker_count * MAX_LOST_TO_TASKS_PER_SECOND * both_sides).min(1.0);
+    (lost as f64 - coinciding) / (worker_count - coinciding).max(1.0)
 }
 
 /// Returns the longest gap between two losses of one series, for a number of workers.
-fn longest_gap(among: f64) -> Millis {
-    let (shortest, longest) = LOST_TOGETHER_GAP_RANGE;
-    let gap = Millis((1_000.0 / (among * MIN_LOST_TOGETHER_PER_SECOND)) as u64);
-    gap.max(shortest).min(longest)
+fn max_gap(worker_count: f64) -> Millis {
+    let (min_gap, max_gap) = LOST_TOGETHER_GAP_RANGE;
+    let gap = Millis((1_000.0 / (worker_count * MIN_LOST_TOGETHER_PER_SECOND)) as u64);
+    gap.max(min_gap).min(max_gap)
 }
 
 /// Returns the number of unrelated losses in the uninterrupted series that starts at `from`, in
-/// which no gap is longer than `longest`.
-fn unrelated_in_a_row(from: Millis, losses: &[OtherLoss], longest: Millis) -> usize {
+/// which no gap is longer than `max_gap`.
+fn unrelated_in_series(from: Millis, losses: &[OtherLoss], max_gap: Millis) -> usize {
     let times = losses.iter().map(|o| o.at.silent_since);
-    let gaps = std::iter::once(from).chain(times.clone()).zip(times).map(|(a, b)| apart(a, b));
-    let in_a_row = losses.iter().zip(gaps).take_while(|(_, gap)| *gap <= longest);
-    in_a_row.filter(|(o, _)| !o.is_related).count()
+    let gaps = std::iter::once(from).chain(times.clone()).zip(times).map(|(a, b)| distance(a, b));
+    let in_series = losses.iter().zip(gaps).take_while(|(_, gap)| *gap <= max_gap);
+    in_series.filter(|(o, _)| !o.is_related).count()
 }
 
 /// Returns the probability that at least one of `workers` workers is hit when a fraction `share` of
@@ -177,7 +180,7 @@
     }
 
     /// Returns the losses of workers of the run's service.
-    pub(crate) fn beside(&self, run: &LostRun) -> impl Iterator<Item = OtherLoss> {
+    pub(crate) fn of_same_service(&self, run: &LostRun) -> impl Iterator<Item = OtherLoss> {
         let of_service = self.0.iter().filter(|l| l.service == run.service);
         of_service.map(|l| OtherLoss { at: l.at, is_related: l.jobs.contains(&run.job) })
     }
--- a/components/dispatch/src/order_delivery.rs
+++ b/components/dispatch/src/order_delivery.rs
@@ -42,7 +42,7 @@
             if starting && !self.replicated.is_wanted(&task, run) {
                 self.stop_unwanted_start(id, &task, run);
             } else if starting && attempts < MAX_START_ATTEMPTS && may_start {
-                self.order_start(m, id, &task, run);
+                self.start_run(m, id, &task, run);
             } else {
                 // A leaving worker must not be told to start anything, not even by a retry. An
                 // organisation whose limit was lowered must not start anything above it.
@@ -81,7 +81,7 @@
     /// Sends a start whose command is committed, if it is still valid.
     pub(crate) fn send_start(&mut self, m: Moment, id: &WorkerId, task: &TaskKey, run: u32) {
         let wanted = self.replicated.is_wanted(task, run);
-        let over_room = self.replicated.worker(id).is_some_and(Worker::is_overcommitted);
+        let overcommitted = self.replicated.worker(id).is_some_and(Worker::is_overcommitted);
         let over_limit = self.is_over_limit(task.step.job);
         let Some(view) = self.worker_views.get_mut(id) else { return };
         let usable = view.in_contact && !view.leaving && view.clock_reading.is_some();
@@ -89,9 +89,9 @@
         if order.stage != Stage::Held {
             return;
         }
-        if !wanted || !usable || over_room || over_limit {
+        if !wanted || !usable || overcommitted || over_limit {
             view.orders.remove(task);
-            let why = match (wanted, over_room) {
+            let why = match (wanted, overcommitted) {
                 (false, _) => "not wanted any more",
                 (true, true) => "the worker has shrunk",
                 (true, false) if over_limit => "the organisation's limit was lowered",
@@ -100,10 +100,10 @@
             self.propose_not_started(id, vec![(*task, run)], why);
             return;
         }
-        self.order_start(m, id, task, run);
+        self.start_run(m, id, task, run);
     }
 
-    fn order_start(&mut self, m: Moment, id: &WorkerId, task: &TaskKey, run: u32) {
+    fn start_run(&mut self, m: Moment, id: &WorkerId, task: &TaskKey, run: u32) {
         if !self.resend_start(m, id, task, run) {
             return;
         }
@@ -198,7 +198,7 @@
             }
             Err(CallError::Refused(why)) if first => {
                 view.orders.remove(task);
-                self.start_refused(m, id, task, why);
+                self.on_start_refused(m, id, task, why);
                 self.propose_not_started(id, vec![(*task, run)], &format!("refused: {why:?}"));
             }
             // An earlier attempt may still be carried out; a stop prevents that for good.
@@ -206,7 +206,7 @@
         }
     }
 
-    fn start_refused(&mut self, m: Moment, id: &WorkerId, task: &TaskKey, why: Refusal) {
+    fn on_start_refused(&mut self, m: Moment, id: &WorkerId, task: &TaskKey, why: Refusal) {
         let Some(view) = self.worker_views.get_mut(id) else { return };
         match why {
             Refusal::Ticket => self.advice_scheduler.drop_ticket(&task.step, id),
@@ -297,13 +297,13 @@
         for (round, r) in (0..).zip(&job.rounds) {
             for (step, s) in (0..).zip(&r.steps) {
                 let gang = job.spec.steps[step as usize].gang;
-                let torn = gang && !s.is_done() && (s.placed as usize) < s.tasks.len();
+                let partial = gang && !s.is_done() && (s.placed as usize) < s.tasks.len();
                 for (index, task) in (0..).zip(&s.tasks) {
                     let Some(worker) = &task.at else { continue };
                     let key = TaskKey { step: workload::StepKey { job: id, round, step }, index };
                     // The members of a completed gang end by themselves.
-                    let over = job.state.is_final() || (task.done && !gang) || torn;
-                    if over && !(gang && task.done) {
+                    let not_wanted = job.state.is_final() || (task.done && !gang) || partial;
+                    if not_wanted && !(gang && task.done) {
                         found.push((worker.clone(), key, task.run));
                     }
                 }
--- a/components/dispatch/src/organisations.rs
+++ b/components/dispatch/src/organisations.rs
@@ -56,11 +56,11 @@
     ) -> Vec<u32> {
         let Some(organisation) = self.organisation_of(key.job) else { return waiting };
         let used = self.replicated.ownership().used(&organisation.name);
-        let most = organisation.tasks_within_limit(&used, &spec.size);
-        let most = usize::try_from(most).unwrap_or(usize::MAX);
-        match spec.gang && most < waiting.len() {
+        let max_tasks = organisation.tasks_within_limit(&used, &spec.size);
+        let max_tasks = usize::try_from(max_tasks).unwrap_or(usize::MAX);
+        match spec.gang && max_tasks < waiting.len() {
             true => waiting.clear(),
-            false => waiting.truncate(most),
+            false => waiting.truncate(max_tasks),
         }
         waiting
     }
@@ -78,8 +78,8 @@
         let Some(organisation) = self.organisation_of(key.job) else { return false };
         let Some(spec) = self.replicated.step_spec(key) else { return false };
         let used = self.replicated.ownership().used(&organisation.name);
-        let together = if spec.gang { u64::from(spec.count) } else { 1 };
-        organisation.tasks_within_limit(&used, &spec.size) < together
+        let tasks_at_once = if spec.gang { u64::from(spec.count) } else { 1 };
+        organisation.tasks_within_limit(&used, &spec.size) < tasks_at_once
     }
 }
 
@@ -87,8 +87,8 @@
 /// organisation running.
 pub(crate) fn step_beyond_limit(organisation: &Organisation, job: &JobSpec) -> Option<usize> {
     let is_beyond = |step: &StepSpec| {
-        let together = if step.gang { u64::from(step.count) } else { 1 };
-        organisation.tasks_within_limit(&model::Size::ZERO, &step.size) < together
+        let tasks_at_once = if step.gang { u64::from(step.count) } else { 1 };
+        organisation.tasks_within_limit(&model::Size::ZERO, &step.size) < tasks_at_once
     };
     job.steps.iter().position(is_beyond)
 }
--- a/components/dispatch/src/partial_gangs.rs
+++ b/components/dispatch/src/partial_gangs.rs
@@ -7,29 +7,30 @@
 use crate::dispatcher::Dispatcher;
 
 /// The maximum number of members logged at a time.
-const MOST_TOLD: usize = 5;
+const MAX_LOGGED_MEMBERS: usize = 5;
 
 impl Dispatcher {
     /// Logs the members that hold up their gangs and the state of their orders.
     pub(crate) fn log_partial_gangs(&mut self) {
-        let torn: Vec<TaskKey> = self.torn_members().take(MOST_TOLD).collect();
-        for member in torn {
+        let partial: Vec<TaskKey> =
+            self.members_of_partial_gangs().take(MAX_LOGGED_MEMBERS).collect();
+        for member in partial {
             let details = self.member_state(&member);
             self.log_event(&kinds::GANG_TORN, member, details);
         }
     }
 
-    fn torn_members(&self) -> impl Iterator<Item = TaskKey> + '_ {
+    fn members_of_partial_gangs(&self) -> impl Iterator<Item = TaskKey> + '_ {
         let jobs = self.replicated.jobs().iter().filter(|(_, j)| !j.state.is_final());
         jobs.flat_map(|(id, job)| {
             let rounds = (0..).zip(&job.rounds);
             rounds.flat_map(move |(round, r)| {
                 let steps = (0..).zip(&r.steps).zip(&job.spec.steps);
-                let torn = steps.filter(|((_, s), spec)| {
-                    let torn = s.placed > 0 && (s.placed as usize) < s.tasks.len();
-                    spec.gang && torn && !s.is_done()
+                let partial = steps.filter(|((_, s), spec)| {
+                    let partial = s.placed > 0 && (s.placed as usize) < s.tasks.len();
+                    spec.gang && partial && !s.is_done()
                 });
-                torn.flat_map(move |((step, s), _)| placed_members(*id, round, step, s))
+                partial.flat_map(move |((step, s), _)| placed_members(*id, round, step, s))
             })
         })
     }
@@ -52,8 +53,8 @@
     job: JobId,
     round: u32,
     step: u32,
-    of: &workload::StepState,
+    step_state: &workload::StepState,
 ) -> impl Iterator<Item = TaskKey> + '_ {
-    let placed = (0..).zip(&of.tasks).filter(|(_, t)| t.at.is_some());
+    let placed = (0..).zip(&step_state.tasks).filter(|(_, t)| t.at.is_some());
     placed.map(move |(index, _)| TaskKey { step: StepKey { job, round, step }, index })
 }
--- a/components/dispatch/src/renewals.rs
+++ b/components/dispatch/src/renewals.rs
@@ -48,10 +48,10 @@
         sent_at: Millis,
         result: Result<Report, CallError>,
     ) {
-        if let Err(CallError::Named(life)) = &result
-            && !self.worker_views.contains_key(life)
+        if let Err(CallError::Named(incarnation)) = &result
+            && !self.worker_views.contains_key(incarnation)
         {
-            self.assign_incarnation(m, id, life.clone());
+            self.assign_incarnation(m, id, incarnation.clone());
             return;
         }
         let Some(view) = self.worker_views.get_mut(id) else { return };
@@ -98,15 +98,15 @@
             let details = format!("runs={runs} clock_ms={clock} seen={seen}");
             self.log_event(&kinds::WORKER_REACHED, id, details);
         }
-        let news = self.take_ends(m, id, report.ends);
+        let has_new_ends = self.propose_ends(m, id, report.ends);
         if let Some(view) = self.worker_views.get_mut(id) {
             view.progress.retain(|k, _| view.statuses.contains_key(k));
         }
         self.settle_orders(m, id, sent_at, &report.running);
         self.credit_long_running_runs(m, id, &report.running);
         self.watch_speed(m, id, &report.running);
-        self.stop_strays(id, &report.running);
-        match news {
+        self.stop_stray_runs(id, &report.running);
+        match has_new_ends {
             true => {
                 if let Some(view) = self.worker_views.get_mut(id) {
                     view.renewal_in_flight = true;
@@ -118,14 +118,14 @@
     }
 
     /// Proposes the run ends that are new; returns whether there were any.
-    fn take_ends(&mut self, m: Moment, id: &WorkerId, ends: Vec<End>) -> bool {
+    fn propose_ends(&mut self, m: Moment, id: &WorkerId, ends: Vec<End>) -> bool {
         let seen = self.replicated.worker(id).map_or(0, |w| w.last_end);
         let ends: Vec<End> = ends.into_iter().filter(|e| e.number > seen).collect();
         if ends.is_empty() {
             return false;
         }
         for end in &ends {
-            self.judge_end(m, id, end);
+            self.apply_end(m, id, end);
         }
         let jobs: BTreeSet<JobId> = ends.iter().map(|e| e.task.step.job).collect();
         let open = |id: &JobId| self.replicated.job(*id).is_some_and(|j| !j.state.is_final());
@@ -148,7 +148,7 @@
         }
     }
 
-    fn judge_end(&mut self, m: Moment, id: &WorkerId, end: &End) {
+    fn apply_end(&mut self, m: Moment, id: &WorkerId, end: &End) {
         self.jobs_to_clean_up.insert(end.task.step.job);
         let details = format!("run={} worker={id} how={:?} end={}", end.run, end.kind, end.number);
         self.log_event(&kinds::RUN_ENDED, end.task, details);
@@ -179,7 +179,7 @@
     /// there is settled only if no order for it can still be carried out.
     fn settle_orders(&mut self, m: Moment, id: &WorkerId, sent_at: Millis, running: &[RunStatus]) {
         let Some(view) = self.worker_views.get_mut(id) else { return };
-        let mut never = Vec::new();
+        let mut not_started = Vec::new();
         for (task, order) in &mut view.orders {
             let listed = running.iter().any(|r| r.task == *task && r.run == order.run);
             order.stage = match (order.stage, listed) {
@@ -189,26 +189,26 @@
                 }
                 // This leader's fencing token keeps out whatever an earlier leader sent.
                 (Stage::Inherited, false) => {
-                    never.push((*task, order.run));
+                    not_started.push((*task, order.run));
                     order.stage
                 }
                 (Stage::Confirmed { at } | Stage::Stopped { at }, false) if at < sent_at => {
-                    never.push((*task, order.run));
+                    not_started.push((*task, order.run));
                     order.stage
                 }
                 (stage, _) => stage,
             };
         }
-        for (task, _) in &never {
+        for (task, _) in &not_started {
             view.orders.remove(task);
         }
-        if !never.is_empty() {
-            self.propose_not_started(id, never, "not listed");
+        if !not_started.is_empty() {
+            self.propose_not_started(id, not_started, "not listed");
         }
     }
 
     /// Stops runs that the worker lists and the log does not know.
-    fn stop_strays(&mut self, id: &WorkerId, running: &[RunStatus]) {
+    fn stop_stray_runs(&mut self, id: &WorkerId, running: &[RunStatus]) {
         let Some(worker) = self.replicated.worker(id) else { return };
         let strays: Vec<(TaskKey, u32)> = running
             .iter()
--- a/components/dispatch/src/silent_zones.rs
+++ b/components/dispatch/src/silent_zones.rs
@@ -16,13 +16,13 @@
 
 /// The number of workers of a zone that must have fallen silent. Two lost answers at the same time
 /// are common.
-const FEWEST: usize = 3;
+const MIN_SILENT_WORKERS: usize = 3;
 /// The fraction of the zone's workers that must have fallen silent, as one in this many. Where one
 /// order in twenty gets no answer, fewer than one worker in fifty is silent at a time.
-const ONE_IN: usize = 10;
+const SILENT_WORKERS_DIVISOR: usize = 10;
 /// How long the silence of a worker counts against its zone. After that each worker of the zone has
 /// been called and counts by itself. Workers that are lost for good must not close a healthy zone.
-const FRESH: Millis = Millis(2_000);
+const MAX_SILENCE_AGE: Millis = Millis(2_000);
 
 /// Returns the zones that have just fallen silent. If most zones seem silent, this instance itself
 /// was stalled, and none is returned.
@@ -33,12 +33,13 @@
     let mut zones: BTreeMap<&Name, (usize, usize)> = BTreeMap::new();
     for (zone, view) in workers.filter(|(_, v)| !v.leaving) {
         let (silent, all) = zones.entry(zone).or_default();
-        let fresh = view.silent_since.is_some_and(|at| now.since(at) < FRESH);
-        *silent += usize::from(fresh);
+        let recent = view.silent_since.is_some_and(|at| now.since(at) < MAX_SILENCE_AGE);
+        *silent += usize::from(recent);
         *all += 1;
     }
-    let fell_silent =
-        |(silent, all): &(usize, usize)| *silent >= FEWEST && *silent * ONE_IN >= *all;
+    let fell_silent = |(silent, all): &(usize, usize)| {
+        *silent >= MIN_SILENT_WORKERS && *silent * SILENT_WORKERS_DIVISOR >= *all
+    };
     let found: BTreeSet<Name> =
         zones.iter().filter(|(_, n)| fell_silent(n)).map(|(zone, _)| (*zone).clone()).collect();
     if found.len() * 2 > zones.len() { BTreeSet::new() } else { found }
--- a/components/dispatch/src/speed.rs
+++ b/components/dispatch/src/speed.rs
@@ -23,17 +23,18 @@
     percent: u32,
     /// The measured speed in percent per millisecond.
     speed: Option<f64>,
-    newest: u32,
+    /// The percentage of the latest report.
+    last_percent: u32,
 }
 
 impl Progress {
     pub(crate) fn new(since: Millis, now: Millis, percent: u32) -> Progress {
-        Progress { since, at: now, percent, speed: None, newest: percent }
+        Progress { since, at: now, percent, speed: None, last_percent: percent }
     }
 
     /// Records the progress from a report.
     pub(crate) fn record(&mut self, now: Millis, percent: u32) {
-        self.newest = percent;
+        self.last_percent = percent;
         let span = now.since(self.at);
         let gained = percent.saturating_sub(self.percent);
         // A run that seems to make no progress gets a longer window.
@@ -64,10 +65,11 @@
         stop_time: Millis,
     ) -> bool {
         let Some(speed) = self.speed else { return false };
-        let left = f64::from(100u32.saturating_sub(self.newest));
-        let here = if speed > 0.0 { left / speed } else { f64::INFINITY };
-        let there = if keeps_progress { left } else { 100.0 } / elsewhere;
-        here > there * STRAGGLER_FACTOR + (stop_time + MOVE_COST).0 as f64
+        let remaining_percent = f64::from(100u32.saturating_sub(self.last_percent));
+        let remaining_here = if speed > 0.0 { remaining_percent / speed } else { f64::INFINITY };
+        let remaining_elsewhere =
+            if keeps_progress { remaining_percent } else { 100.0 } / elsewhere;
+        remaining_here > remaining_elsewhere * STRAGGLER_FACTOR + (stop_time + MOVE_COST).0 as f64
     }
 }
 
@@ -92,11 +94,11 @@
     /// Returns the median speed on other workers, if there are enough of them.
     pub(crate) fn elsewhere(&self, worker: &WorkerId) -> Option<f64> {
         let others = self.by_worker.iter().filter(|(w, _)| *w != worker);
-        let mut step_speeds: Vec<f64> = others.map(|(_, s)| *s).collect();
-        if step_speeds.len() < MIN_COMPARED_WORKERS {
+        let mut speeds: Vec<f64> = others.map(|(_, s)| *s).collect();
+        if speeds.len() < MIN_COMPARED_WORKERS {
             return None;
         }
-        step_speeds.sort_by(f64::total_cmp);
-        Some(step_speeds[step_speeds.len() / 2]).filter(|s| *s > 0.0)
+        speeds.sort_by(f64::total_cmp);
+        Some(speeds[speeds.len() / 2]).filter(|s| *s > 0.0)
     }
 }
--- a/components/dispatch/src/start_confirmation.rs
+++ b/components/dispatch/src/start_confirmation.rs
@@ -14,12 +14,12 @@
 
 /// Returns whether a run is old enough to seem healthy and its worker has neither answered nor been
 /// probed since.
-fn wants_asking(m: Moment, view: &WorkerView, order: &Order) -> bool {
+fn needs_probe(m: Moment, view: &WorkerView, order: &Order) -> bool {
     let confirmed = matches!(order.stage, Stage::Confirmed { .. });
-    let seems_well_at = order.since + SEEMS_HEALTHY_AGE;
-    let answered = view.clock_reading.is_some_and(|r| r.at >= seems_well_at);
-    let asked = order.sent_at >= seems_well_at;
-    confirmed && view.is_usable() && m.now >= seems_well_at && !answered && !asked
+    let seems_healthy_at = order.since + SEEMS_HEALTHY_AGE;
+    let answered = view.clock_reading.is_some_and(|r| r.at >= seems_healthy_at);
+    let probed = order.sent_at >= seems_healthy_at;
+    confirmed && view.is_usable() && m.now >= seems_healthy_at && !answered && !probed
 }
 
 impl Dispatcher {
@@ -34,11 +34,11 @@
         let Some(step) = self.replicated.step(key) else { return Vec::new() };
         let placed = (0..).zip(&step.tasks).filter_map(|(i, t)| Some((i, t.at.as_ref()?, t.run)));
         let runs = placed.map(|(index, worker, run)| (worker, TaskKey { step: *key, index }, run));
-        let wanted = runs.filter(|(worker, task, run)| {
+        let unanswered = runs.filter(|(worker, task, run)| {
             let Some(view) = self.worker_views.get(*worker) else { return false };
             let order = view.orders.get(task).filter(|o| o.run == *run);
-            order.is_some_and(|o| wants_asking(m, view, o))
+            order.is_some_and(|o| needs_probe(m, view, o))
         });
-        wanted.map(|(worker, task, run)| (worker.clone(), task, run)).collect()
+        unanswered.map(|(worker, task, run)| (worker.clone(), task, run)).collect()
     }
 }
--- a/components/dispatch/src/stragglers.rs
+++ b/components/dispatch/src/stragglers.rs
@@ -20,49 +20,49 @@
             return;
         }
         let stop_time = self.limits.stop_time;
-        let mut shares = Vec::new();
+        let mut speed_ratios = Vec::new();
         let mut stragglers = Vec::new();
-        for row in running {
-            let Some(spec) = self.replicated.step_spec(&row.task.step) else { continue };
+        for status in running {
+            let Some(spec) = self.replicated.step_spec(&status.task.step) else { continue };
             let Some(view) = self.worker_views.get_mut(id) else { return };
-            let Some(order) = view.orders.get(&row.task) else { continue };
-            if spec.long_running || spec.filler || order.run != row.run {
+            let Some(order) = view.orders.get(&status.task) else { continue };
+            if spec.long_running || spec.filler || order.run != status.run {
                 continue;
             }
-            let fresh = Progress::new(order.since, m.now, row.percent);
-            let progress = view.progress.entry(row.task).or_insert(fresh);
-            progress.record(m.now, row.percent);
+            let fresh = Progress::new(order.since, m.now, status.percent);
+            let progress = view.progress.entry(status.task).or_insert(fresh);
+            progress.record(m.now, status.percent);
             let Some(speed) = progress.speed() else { continue };
-            let known = self.step_speeds.entry(row.task.step).or_default();
-            known.record(id, speed);
-            let Some(elsewhere) = known.elsewhere(id) else { continue };
-            shares.push(speed / elsewhere);
+            let step_speeds = self.step_speeds.entry(status.task.step).or_default();
+            step_speeds.record(id, speed);
+            let Some(elsewhere) = step_speeds.elsewhere(id) else { continue };
+            speed_ratios.push(speed / elsewhere);
             let settled = matches!(order.stage, Stage::Confirmed { .. })
                 && progress.age(m.now) >= MIN_STRAGGLER_AGE;
             if settled
                 && !spec.gang
                 && progress.is_straggler(elsewhere, spec.checkpointing, stop_time)
             {
-                stragglers.push((row.task, row.run));
+                stragglers.push((status.task, status.run));
             }
         }
-        self.spare_if_slow(m, id, &shares);
+        self.deprioritise_if_slow(m, id, &speed_ratios);
         for (task, run) in stragglers {
             self.move_straggler(m, id, &task, run);
         }
     }
 
-    fn spare_if_slow(&mut self, m: Moment, id: &WorkerId, shares: &[f64]) {
-        let mean = shares.iter().sum::<f64>() / shares.len().max(1) as f64;
+    fn deprioritise_if_slow(&mut self, m: Moment, id: &WorkerId, speed_ratios: &[f64]) {
+        let mean = speed_ratios.iter().sum::<f64>() / speed_ratios.len().max(1) as f64;
         let Some(view) = self.worker_views.get_mut(id) else { return };
-        if !shares.is_empty() && mean < SLOW_WORKER_SPEED_RATIO {
-            let was_aside = view.health.is_slow(m.now);
+        if !speed_ratios.is_empty() && mean < SLOW_WORKER_SPEED_RATIO {
+            let was_slow = view.health.is_slow(m.now);
             view.health.mark_slow(m.now + SLOW_WORKER_BACKOFF);
-            if !was_aside {
+            if !was_slow {
                 self.log_event(
                     &kinds::WORKER_SLOW,
                     id,
-                    format!("speed={mean:.2} runs={}", shares.len()),
+                    format!("speed={mean:.2} runs={}", speed_ratios.len()),
                 );
             }
         }
--- a/components/dispatch/src/suspects.rs
+++ b/components/dispatch/src/suspects.rs
@@ -80,8 +80,8 @@
 
 /// Returns whether a run is too young to show that its worker survives it.
 fn is_young(order: &Order, now: Millis) -> bool {
-    let lives = matches!(order.stage, Stage::Confirmed { .. } | Stage::Stopping);
-    !lives || now.since(order.since) < MAX_YOUNG_RUN_AGE
+    let is_confirmed = matches!(order.stage, Stage::Confirmed { .. } | Stage::Stopping);
+    !is_confirmed || now.since(order.since) < MAX_YOUNG_RUN_AGE
 }
 
 /// Returns whether a run may have started on its worker and may still be there.
@@ -91,7 +91,7 @@
 
 /// Counts of a step's tasks by what their runs have shown.
 #[derive(Clone, Copy, Debug, Default)]
-struct StepRecord {
+struct StepOutcomes {
     /// Tasks that crashed a worker while young and have not since shown that a worker survives
     /// them.
     suspects: usize,
@@ -100,24 +100,24 @@
     /// Tasks whose runs are too young to judge.
     unsettled: usize,
     /// The unsettled tasks on workers out of contact, which others need not wait for.
-    unheard: usize,
+    out_of_contact: usize,
     /// The unsettled tasks whose workers have answered since the run was old enough to seem
     /// healthy.
-    promising: usize,
+    seemingly_healthy: usize,
 }
 
-impl StepRecord {
+impl StepOutcomes {
     /// Returns whether the crashes seem to be caused by the step as a whole.
-    fn seems_at_fault(&self) -> bool {
+    fn seems_faulty(&self) -> bool {
         self.suspects >= MIN_SUSPECTS_FOR_FAULTY_STEP && self.suspects > self.settled
     }
 
     /// Returns how many more tasks of a faulty step may start: one at first, and more as more of
     /// them prove healthy.
     fn may_start(&self) -> usize {
-        let unheard = self.unheard.min(MAX_RUNS_OUT_OF_CONTACT);
-        let unknown = self.unsettled.saturating_sub(unheard + self.promising);
-        (self.settled + unheard + self.promising + 1).saturating_sub(unknown)
+        let out_of_contact = self.out_of_contact.min(MAX_RUNS_OUT_OF_CONTACT);
+        let unknown = self.unsettled.saturating_sub(out_of_contact + self.seemingly_healthy);
+        (self.settled + out_of_contact + self.seemingly_healthy + 1).saturating_sub(unknown)
     }
 }
 
@@ -136,7 +136,7 @@
     pub(crate) fn find_young_suspects(&mut self, m: Moment) {
         let mut found: BTreeMap<WorkerId, YoungSuspects> = BTreeMap::new();
         for suspect in self.suspects() {
-            for (worker, task) in self.placed_of(&suspect) {
+            for (worker, task) in self.placements(&suspect) {
                 let order = self.worker_views.get(&worker).and_then(|v| v.orders.get(&task));
                 if order.is_some_and(|o| is_young(o, m.now)) {
                     found.entry(worker).or_default().add(self.suspicion(&suspect));
@@ -154,7 +154,7 @@
     }
 
     /// Returns the placements of a suspect: of all members for a gang.
-    fn placed_of(&self, suspect: &TaskKey) -> Vec<(WorkerId, TaskKey)> {
+    fn placements(&self, suspect: &TaskKey) -> Vec<(WorkerId, TaskKey)> {
         let Some(step) = self.replicated.step(&suspect.step) else { return Vec::new() };
         let gang = self.replicated.step_spec(&suspect.step).is_some_and(|s| s.gang);
         let tasks = (0..).zip(&step.tasks).filter(|(i, _)| gang || *i == suspect.index);
@@ -194,36 +194,36 @@
         let task = |index: u32| self.replicated.suspect_key(&TaskKey { step: *key, index });
         waiting.retain(|i| !self.replicated.must_wait(&task(*i)));
         let Some(step) = self.replicated.step(key) else { return waiting };
-        let record = self.step_record(m, key, step);
-        if spec.gang || !record.seems_at_fault() {
+        let outcomes = self.step_outcomes(m, key, step);
+        if spec.gang || !outcomes.seems_faulty() {
             return waiting;
         }
         waiting.sort_by_key(|i| (Reverse(ledger.crashes(&task(*i))), *i));
-        waiting.truncate(record.may_start());
+        waiting.truncate(outcomes.may_start());
         waiting
     }
 
-    fn step_record(&self, m: Moment, key: &StepKey, step: &StepState) -> StepRecord {
-        let mut record = StepRecord::default();
+    fn step_outcomes(&self, m: Moment, key: &StepKey, step: &StepState) -> StepOutcomes {
+        let mut outcomes = StepOutcomes::default();
         for (index, state) in (0..).zip(&step.tasks) {
             let task = TaskKey { step: *key, index };
             let suspect = self.replicated.crashes().crashes_while_young(&task) > 0;
-            let lives = state.at.as_ref().is_some_and(|w| self.is_settled(m, w, &task));
-            let settled = state.done || lives;
-            record.suspects += usize::from(suspect && !settled);
-            record.settled += usize::from(settled);
-            record.unsettled += usize::from(state.at.is_some() && !settled);
-            let unheard = state.at.as_ref().is_some_and(|w| self.is_unheard(w));
-            record.unheard += usize::from(unheard && !settled);
-            let promising = state.at.as_ref().is_some_and(|w| self.is_promising(w, &task));
-            record.promising += usize::from(promising && !settled);
+            let survives = state.at.as_ref().is_some_and(|w| self.is_settled(m, w, &task));
+            let settled = state.done || survives;
+            outcomes.suspects += usize::from(suspect && !settled);
+            outcomes.settled += usize::from(settled);
+            outcomes.unsettled += usize::from(state.at.is_some() && !settled);
+            let out_of_contact = state.at.as_ref().is_some_and(|w| self.is_out_of_contact(w));
+            outcomes.out_of_contact += usize::from(out_of_contact && !settled);
+            let seemingly_healthy = state.at.as_ref().is_some_and(|w| self.seems_healthy(w, &task));
+            outcomes.seemingly_healthy += usize::from(seemingly_healthy && !settled);
         }
-        record
+        outcomes
     }
 
     /// Returns whether a worker has answered since a run was old enough to seem healthy, and is not
     /// silent.
-    fn is_promising(&self, worker: &WorkerId, task: &TaskKey) -> bool {
+    fn seems_healthy(&self, worker: &WorkerId, task: &TaskKey) -> bool {
         let Some(view) = self.worker_views.get(worker).filter(|v| v.silent_since.is_none()) else {
             return false;
         };
@@ -237,7 +237,7 @@
     /// worker that is cut off time out, and its fate is unknown until its lease expires. Calls to a
     /// crashed worker fail immediately, and whoever answers next at its address shows the crash, so
     /// others wait for that.
-    fn is_unheard(&self, worker: &WorkerId) -> bool {
+    fn is_out_of_contact(&self, worker: &WorkerId) -> bool {
         self.worker_views
             .get(worker)
             .is_some_and(|v| v.silent_since.is_some() && !v.connection_broke)
@@ -256,15 +256,15 @@
             return;
         }
         let suspects = self.suspects().into_iter();
-        let tasks: Vec<TaskKey> = suspects.filter(|t| self.has_lived_on(m, t)).collect();
+        let tasks: Vec<TaskKey> = suspects.filter(|t| self.has_outlived_suspicion(m, t)).collect();
         if !tasks.is_empty() {
             self.propose(Command::SuspectsCleared { tasks });
         }
     }
 
-    fn has_lived_on(&self, m: Moment, suspect: &TaskKey) -> bool {
-        let placed = self.placed_of(suspect);
-        let lives = |(worker, task): &(WorkerId, TaskKey)| {
+    fn has_outlived_suspicion(&self, m: Moment, suspect: &TaskKey) -> bool {
+        let placed = self.placements(suspect);
+        let survives = |(worker, task): &(WorkerId, TaskKey)| {
             let Some(view) = self.worker_views.get(worker).filter(|v| v.in_contact) else {
                 return false;
             };
@@ -274,7 +274,7 @@
                     && m.now.since(o.since) >= SUSPECT_CLEARED_AFTER
             })
         };
-        !placed.is_empty() && placed.iter().all(lives)
+        !placed.is_empty() && placed.iter().all(survives)
     }
 
     /// Returns the runs under which a worker may have crashed. The worker was alive when it last
@@ -300,18 +300,18 @@
 
     /// Returns the runs under which a worker has crashed, without those that chance may have hit;
     /// their losses are recorded as uncertain.
-    fn blame_for_crash(&mut self, worker: &WorkerId) -> CrashSuspects {
+    fn suspects_of_crash(&mut self, worker: &WorkerId) -> CrashSuspects {
         let lapsed = self.replicated.crashes().lapsed_runs(worker).cloned();
         let crash_suspects = lapsed.unwrap_or_else(|| self.crash_suspects(worker));
-        let doubtful = self.doubtful_losses(worker, &crash_suspects);
-        if doubtful.is_empty() {
+        let uncertain = self.find_uncertain_losses(worker, &crash_suspects);
+        if uncertain.is_empty() {
             return crash_suspects;
         }
-        let counted = doubtful.iter().filter(|l| self.replicated.uncertain_losses().counts(l));
+        let counted = uncertain.iter().filter(|l| self.replicated.uncertain_losses().counts(l));
         let counted: BTreeSet<(TaskKey, u32)> = counted.map(|l| (l.task, l.run)).collect();
-        let excused = doubtful.iter().map(|l| (l.task, l.run));
+        let excused = uncertain.iter().map(|l| (l.task, l.run));
         let excused: BTreeSet<_> = excused.filter(|run| !counted.contains(run)).collect();
-        for loss in &doubtful {
+        for loss in &uncertain {
             let details = format!(
                 "run={} worker={worker} weight_permille={} counted={}",
                 loss.run,
@@ -320,12 +320,12 @@
             );
             self.log_event(&kinds::LOSS_IN_DOUBT, loss.task, details);
         }
-        self.propose(Command::LossesUncertain { losses: doubtful });
+        self.propose(Command::LossesUncertain { losses: uncertain });
         self.without(crash_suspects, &excused)
     }
 
     /// Returns the uncertain losses: the runs among the suspects that chance may have hit.
-    fn doubtful_losses(
+    fn find_uncertain_losses(
         &self,
         worker: &WorkerId,
         crash_suspects: &CrashSuspects,
@@ -376,7 +376,7 @@
             at: view.loss_time(self.now()),
             workers: gang.map_or(1, |s| s.count as usize),
         };
-        let lost = self.recent_losses.beside(&run);
+        let lost = self.recent_losses.of_same_service(&run);
         let others: Vec<OtherLoss> = lost.chain(self.silent_beside(worker, &run)).collect();
         run.weight(&others, self.workers_without(run.job, &run.service))
     }
@@ -404,10 +404,10 @@
     fn silent_together(&self, worker: &WorkerId) -> usize {
         let since = |view: &WorkerView| view.silent_since;
         let Some(at) = self.worker_views.get(worker).and_then(since) else { return 0 };
-        let with_it = |view: &WorkerView| {
+        let fell_silent_with_it = |view: &WorkerView| {
             since(view).is_some_and(|s| s.since(at) + at.since(s) < SIMULTANEOUS_SILENCE_WINDOW)
         };
-        self.worker_views.values().filter(|v| with_it(v)).count()
+        self.worker_views.values().filter(|v| fell_silent_with_it(v)).count()
     }
 
     /// Returns the runs under which a worker with an expired lease may have crashed, until its fate
@@ -433,18 +433,18 @@
     /// Ends the incarnation of a worker that had not announced that it would leave. Everything that
     /// had started there is suspect.
     pub(crate) fn worker_crashed(&mut self, id: &WorkerId, saved: Vec<(TaskKey, Arc<str>)>) {
-        let (crash_suspects, at) = (self.blame_for_crash(id), self.wall());
-        self.note_loss(id);
+        let (crash_suspects, at) = (self.suspects_of_crash(id), self.wall());
+        self.record_loss(id);
         // Lapsed runs are judged together with the crash, so they must not be counted by themselves
         // as well.
         let settled = self.replicated.crashes().has_lapsed_runs(id);
         let settled = settled.then(|| Command::WorkerSurvived { worker: id.clone() });
         let crashed = Command::WorkerCrashed { worker: id.clone(), saved, crash_suspects, at };
-        self.end_life(id, settled.into_iter().chain([crashed]));
+        self.end_incarnation(id, settled.into_iter().chain([crashed]));
     }
 
     /// Records the loss of a worker.
-    fn note_loss(&mut self, id: &WorkerId) {
+    fn record_loss(&mut self, id: &WorkerId) {
         let (Some(view), Some(worker)) = (self.worker_views.get(id), self.replicated.worker(id))
         else {
             return;
@@ -457,16 +457,16 @@
     /// it counts as lost.
     pub(crate) fn worker_lost(&mut self, id: &WorkerId) {
         let lost = Command::WorkerLost { worker: id.clone(), at: self.wall() };
-        self.end_life(id, [lost]);
+        self.end_incarnation(id, [lost]);
     }
 
-    fn end_life(&mut self, id: &WorkerId, commands: impl IntoIterator<Item = Command>) {
+    fn end_incarnation(&mut self, id: &WorkerId, commands: impl IntoIterator<Item = Command>) {
         let jobs = self.replicated.jobs_on(id);
         if jobs.is_empty() {
             self.propose(Command::WorkerGone { worker: id.clone(), saved: Vec::new() });
             return;
         }
-        self.tell_crash(id);
+        self.log_crash(id);
         let open = |id: &JobId| self.replicated.job(*id).is_some_and(|j| !j.state.is_final());
         let open: Vec<JobId> = jobs.iter().filter(|id| open(id)).copied().collect();
         commands.into_iter().for_each(|c| self.propose(c));
@@ -474,7 +474,7 @@
         self.log_ended_jobs(open);
     }
 
-    fn tell_crash(&mut self, id: &WorkerId) {
+    fn log_crash(&mut self, id: &WorkerId) {
         let Some(worker) = self.replicated.worker(id) else { return };
         let service: Name = worker.info.service.clone();
         let details = format!("service={service} address={}", worker.info.address);
--- a/components/dispatch/src/unconfigured_workers.rs
+++ b/components/dispatch/src/unconfigured_workers.rs
@@ -15,7 +15,7 @@
 use crate::worker_messages::WorkerAnnouncement;
 
 /// The maximum number of remembered workers, since another writer may announce any number of them.
-const MOST_STRANGERS: usize = 4_096;
+const MAX_UNCONFIGURED_WORKERS: usize = 4_096;
 
 /// The workers whose service is not configured, with the time of their last announcement.
 #[derive(Clone, Debug, Default)]
@@ -25,12 +25,12 @@
 
 impl UnconfiguredWorkers {
     /// Adds an announcement; returns whether it is the first one remembered of its worker.
-    fn add(&mut self, now: Millis, news: WorkerAnnouncement) -> bool {
-        let id = news.info.id.clone();
-        if !self.by_id.contains_key(&id) && self.by_id.len() >= MOST_STRANGERS {
+    fn add(&mut self, now: Millis, announcement: WorkerAnnouncement) -> bool {
+        let id = announcement.info.id.clone();
+        if !self.by_id.contains_key(&id) && self.by_id.len() >= MAX_UNCONFIGURED_WORKERS {
             return false;
         }
-        self.by_id.insert(id, (now, news)).is_none()
+        self.by_id.insert(id, (now, announcement)).is_none()
     }
 
     pub(crate) fn remove(&mut self, id: &WorkerId) {
@@ -51,9 +51,9 @@
     }
 
     /// Remembers a worker whose service is not configured.
-    pub(crate) fn record_unconfigured(&mut self, m: Moment, news: WorkerAnnouncement) {
-        let (id, service) = (news.info.id.clone(), news.info.service.clone());
-        if self.unconfigured_workers.add(m.now, news) {
+    pub(crate) fn record_unconfigured(&mut self, m: Moment, announcement: WorkerAnnouncement) {
+        let (id, service) = (announcement.info.id.clone(), announcement.info.service.clone());
+        if self.unconfigured_workers.add(m.now, announcement) {
             self.log_event(&kinds::WORKER_UNCONFIGURED, id, format!("service={service:?}"));
         }
     }
@@ -61,8 +61,8 @@
     /// Admits the workers whose service a new configuration names.
     pub(crate) fn admit_configured(&mut self, m: Moment) {
         let unconfigured_workers = std::mem::take(&mut self.unconfigured_workers);
-        for (_, news) in unconfigured_workers.by_id.into_values() {
-            self.on_announcement(m, news);
+        for (_, announcement) in unconfigured_workers.by_id.into_values() {
+            self.on_announcement(m, announcement);
         }
     }
 }
--- a/components/dispatch/src/workers.rs
+++ b/components/dispatch/src/workers.rs
@@ -25,7 +25,7 @@
 }
 
 impl IncarnationEnd {
-    fn told_as(self) -> &'static str {
+    fn reason(self) -> &'static str {
         match self {
             IncarnationEnd::Replaced => "another life answered",
             IncarnationEnd::Forgotten => "silent for long and runs nothing",
@@ -35,46 +35,47 @@
 
 impl Dispatcher {
     /// Handles a worker's announcement.
-    pub(crate) fn on_announcement(&mut self, m: Moment, news: WorkerAnnouncement) {
-        let id = news.info.id.clone();
+    pub(crate) fn on_announcement(&mut self, m: Moment, announcement: WorkerAnnouncement) {
+        let id = announcement.info.id.clone();
         match id.incarnation() {
-            Some(_) => self.apply_incarnation(m, &news.info),
+            Some(_) => self.apply_incarnation(m, &announcement.info),
             // It was forwarded by an instance that does not read incarnations yet. The worker
             // itself announces its incarnation.
             None if self.knows_incarnation(&id) => return,
             None => {}
         }
-        if !self.worker_views.contains_key(&id) && !self.is_configured(&news.info.service) {
-            self.record_unconfigured(m, news);
+        if !self.worker_views.contains_key(&id) && !self.is_configured(&announcement.info.service) {
+            self.record_unconfigured(m, announcement);
             return;
         }
         if !self.worker_views.contains_key(&id) {
             // An earlier incarnation on the same machine is not removed yet: announcements may be
             // old and arrive late. Its address shows the change when the new incarnation answers
             // there, or else its lease expires.
-            self.propose(Command::WorkerJoined(news.info.clone()));
+            self.propose(Command::WorkerJoined(announcement.info.clone()));
             self.worker_views.insert(id.clone(), WorkerView::new(m.now, m.now));
-            let details = format!("address={} zone={}", news.info.address, news.info.zone);
+            let details =
+                format!("address={} zone={}", announcement.info.address, announcement.info.zone);
             self.log_event(&kinds::WORKER_JOINED, &id, details);
         }
         let Some(view) = self.worker_views.get_mut(&id) else { return };
-        if news.number < view.announcement_number {
+        if announcement.number < view.announcement_number {
             return;
         }
-        view.announcement_number = news.number;
+        view.announcement_number = announcement.number;
         view.last_contact = m.now;
-        self.take_capacity(&id, news.info.capacity);
+        self.update_capacity(&id, announcement.info.capacity);
         let Some(view) = self.worker_views.get_mut(&id) else { return };
-        if news.leaving && !view.leaving {
+        if announcement.leaving && !view.leaving {
             view.leaving = true;
-            let left = news.remaining.unwrap_or_default().0;
+            let left = announcement.remaining.unwrap_or_default().0;
             self.log_event(&kinds::WORKER_LEAVES, &id, format!("remaining_ms={left}"));
-            self.clear_leaving(m, &id, news.remaining);
+            self.stop_long_runs(m, &id, announcement.remaining);
         }
     }
 
     /// Updates a worker's capacity, which may shrink and grow while it runs.
-    fn take_capacity(&mut self, id: &WorkerId, capacity: Size) {
+    fn update_capacity(&mut self, id: &WorkerId, capacity: Size) {
         let Some(had) = self.replicated.worker(id).map(|w| w.info.capacity) else { return };
         if had != capacity {
             self.propose(Command::Resized { worker: id.clone(), capacity });
@@ -83,7 +84,7 @@
     }
 
     /// Stops the runs that would not end in time on a leaving worker.
-    fn clear_leaving(&mut self, m: Moment, id: &WorkerId, remaining: Option<Millis>) {
+    fn stop_long_runs(&mut self, m: Moment, id: &WorkerId, remaining: Option<Millis>) {
         let Some(worker) = self.replicated.worker(id) else { return };
         let runs: Vec<(TaskKey, u32)> = worker.runs.iter().map(|(k, r)| (*k, *r)).collect();
         let stays = remaining.unwrap_or(self.limits.leaving_notice);
@@ -104,8 +105,12 @@
         self.unconfigured_workers.remove(id);
         // A message without an incarnation may come late from an earlier one, so it applies only to
         // one that has announced that it is leaving.
-        let is_meant = |life, v: &WorkerView| life == id || (id.may_refer_to(life) && v.leaving);
-        for (_, view) in self.worker_views.iter_mut().filter(|(life, v)| is_meant(*life, v)) {
+        let is_addressed = |incarnation, v: &WorkerView| {
+            incarnation == id || (id.may_refer_to(incarnation) && v.leaving)
+        };
+        for (_, view) in
+            self.worker_views.iter_mut().filter(|(incarnation, v)| is_addressed(*incarnation, v))
+        {
             view.leaving = true;
             view.renew_at = view.renew_at.min(m.now);
         }
@@ -113,10 +118,10 @@
 
     /// Ends an incarnation of a worker with all its runs.
     pub(crate) fn worker_gone(&mut self, id: &WorkerId, end: IncarnationEnd) {
-        let why = end.told_as();
-        self.tell_lost_runs(id, why);
+        let why = end.reason();
+        self.log_lost_runs(id, why);
         let Some(view) = self.worker_views.get(id) else { return };
-        let (leaving, saved) = (view.leaving, saved(view));
+        let (leaving, saved) = (view.leaving, saved_checkpoints(view));
         match (leaving, end) {
             (true, _) => self.worker_left(id, saved),
             (false, IncarnationEnd::Replaced) => self.worker_crashed(id, saved),
@@ -136,7 +141,7 @@
     /// Logs the runs that end with a worker's incarnation or lease. The worker can no longer report
     /// them, so this is the only record of which task was there, how old its run was, and what ran
     /// beside it.
-    fn tell_lost_runs(&mut self, id: &WorkerId, why: &str) {
+    fn log_lost_runs(&mut self, id: &WorkerId, why: &str) {
         let (Some(worker), Some(view)) = (self.replicated.worker(id), self.worker_views.get(id))
         else {
             return;
@@ -166,16 +171,16 @@
 
     /// Renews the leases that are due, resends unanswered orders, and gives up expired leases.
     pub(crate) fn maintain_workers(&mut self, m: Moment) {
-        self.watch_zones(m);
+        self.update_silent_zones(m);
         let due = self.worker_views.iter().filter(|(_, v)| v.needs_service(m.now));
         let ids: Vec<WorkerId> = due.map(|(id, _)| id.clone()).collect();
         for id in ids {
-            self.tend_worker(m, &id);
+            self.service_worker(m, &id);
         }
     }
 
     /// Updates which zones have just fallen silent.
-    fn watch_zones(&mut self, m: Moment) {
+    fn update_silent_zones(&mut self, m: Moment) {
         let on = self.limits.mechanisms.avoids_silent_zones;
         self.silent_zones = match on && self.worker_views.values().any(|v| v.silent_since.is_some())
         {
@@ -188,11 +193,11 @@
         };
     }
 
-    fn tend_worker(&mut self, m: Moment, id: &WorkerId) {
+    fn service_worker(&mut self, m: Moment, id: &WorkerId) {
         let runs = self.replicated.worker(id).is_some_and(|w| !w.runs.is_empty());
         let Some(view) = self.worker_views.get(id) else { return };
         if runs && m.now >= view.lapses_at {
-            self.lapse(id);
+            self.expire_lease(id);
         }
         let Some(view) = self.worker_views.get(id) else { return };
         if !runs && !view.in_contact && m.now.since(view.last_contact) >= SILENT_WORKER_RETENTION {
@@ -205,13 +210,13 @@
         self.resend_orders(m, id);
     }
 
-    fn lapse(&mut self, id: &WorkerId) {
-        self.tell_lost_runs(id, "lapsed");
+    fn expire_lease(&mut self, id: &WorkerId) {
+        self.log_lost_runs(id, "lapsed");
         let crash_suspects = self.suspects_of_silence(id);
         let Some(view) = self.worker_views.get_mut(id) else { return };
         let suspected = (!view.leaving && !crash_suspects.is_empty())
             .then(|| Command::CrashSuspected { worker: id.clone(), crash_suspects });
-        let command = Command::Lapsed { worker: id.clone(), saved: saved(view) };
+        let command = Command::Lapsed { worker: id.clone(), saved: saved_checkpoints(view) };
         view.orders.clear();
         view.statuses.clear();
         view.in_contact = false;
@@ -223,7 +228,7 @@
 }
 
 /// Returns the latest known checkpoints of a worker's runs.
-fn saved(view: &WorkerView) -> Vec<(TaskKey, Arc<str>)> {
-    let kept = view.statuses.iter().filter(|(_, r)| !r.checkpoint.is_empty());
-    kept.map(|(k, r)| (*k, r.checkpoint.clone())).collect()
+fn saved_checkpoints(view: &WorkerView) -> Vec<(TaskKey, Arc<str>)> {
+    let with_checkpoint = view.statuses.iter().filter(|(_, r)| !r.checkpoint.is_empty());
+    with_checkpoint.map(|(k, r)| (*k, r.checkpoint.clone())).collect()
 }
