--- a/components/dispatch/src/call_handling.rs
+++ b/components/dispatch/src/call_handling.rs
@@ -1,4 +1,4 @@
-//! Answering callers and operators.
+//! Handles the calls of callers and operators.
 
 use std::sync::Arc;
 
@@ -13,10 +13,10 @@
 use crate::organisations::{Caller, step_beyond_limit};
 
 impl Dispatcher {
-    /// Answers a call, now or once what it rests on is committed.
+    /// Handles a call. The answer is sent once everything it depends on is committed.
     pub(crate) fn on_call(&mut self, m: Moment, token: Token, call: Call) {
         if m.now >= m.leads_until {
-            // Nothing was proposed, so this is surely not done.
+            // Nothing was proposed, so the call has certainly not been carried out.
             self.reply_now(token, Answer::NotDone { retry_after: CALLER_RETRY_AFTER });
             return;
         }
@@ -92,13 +92,14 @@
             (_, Ok(id)) if !self.may_access(queue, &caller, id) => Answer::NoJob,
             (Verb::Submit(spec), Ok(id)) => self.submit(m, (queue, caller), id, spec),
             (Verb::Submit(_), Err(_)) => Answer::Invalid("the id is not 16 hex digits".into()),
-            (Verb::Query, Ok(id)) => self.look(id),
+            (Verb::Query, Ok(id)) => self.query(id),
             (Verb::Cancel, Ok(id)) => self.cancel(m, id),
             (_, Err(_)) => Answer::NoJob,
         }
     }
 
-    /// Refuses a call that shows no key of an organisation, and tells of it by the fingerprint of what it shows.
+    /// Refuses a call without a valid key of an organisation, and logs the fingerprint of the
+    /// credential shown.
     fn refuse_key(&mut self, m: Moment, queue: &Queue, credential: &Credential) -> Answer {
         if m.now >= self.next_key_log_at {
             self.next_key_log_at = m.now + KEY_REFUSED_LOG_INTERVAL;
@@ -155,7 +156,8 @@
         Answer::Accepted
     }
 
-    /// Refuses a job that could not run if its organisation had nothing else running.
+    /// Returns a refusal if the job could not run even with nothing else of its organisation
+    /// running.
     fn refuse_beyond_limit(&self, organisation: &Name, spec: &JobSpec) -> Option<Answer> {
         let organisations = self.policy.as_ref()?.organisations.as_ref()?;
         let organisation = organisations.get(organisation)?;
@@ -164,7 +166,7 @@
         Some(Answer::Invalid(message.into()))
     }
 
-    fn look(&self, id: JobId) -> Answer {
+    fn query(&self, id: JobId) -> Answer {
         self.replicated.job(id).map_or(Answer::NoJob, |job| Answer::State(job.state))
     }
 
--- a/components/dispatch/src/dispatcher.rs
+++ b/components/dispatch/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's state, and the gate that holds back what is not committed.
+//! The state of the dispatcher, and the actions that are held until their commands are committed.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -28,87 +28,88 @@
 use crate::wait_logging::WaitLogger;
 use crate::worker_view::{Order, Stage, WorkerView};
 
-/// What waits for a batch to be committed.
+/// An action that is held until a batch is committed.
 #[derive(Clone, Debug)]
-enum Gated {
+enum HeldAction {
     Reply { token: Token, answer: Answer },
     Start { worker: WorkerId, task: TaskKey, run: u32 },
     Stop { worker: WorkerId, task: TaskKey, run: u32 },
     Renew { worker: WorkerId },
 }
 
-/// What a dispatcher begins with.
+/// The parameters of a new dispatcher.
 pub struct Setup {
-    /// The time limits.
+    /// The time limits and switches.
     pub limits: Limits,
-    /// The leader's term, which fences orders.
+    /// The leader's term, which is the fencing token of its orders.
     pub term: u64,
-    /// Reads configurations.
+    /// The parser of configurations.
     pub reader: Arc<dyn PolicyReader>,
-    /// Everything that is committed, up to and with the leader's first own entry.
+    /// The replicated state up to and including the leader's first own entry.
     pub replicated: ReplicatedState,
 }
 
-/// The decisions of one leader in one term.
+/// The dispatcher of one leader in one term.
 pub struct Dispatcher {
     pub(crate) limits: Limits,
     pub(crate) term: u64,
     pub(crate) reader: Arc<dyn PolicyReader>,
     pub(crate) policy: Option<Arc<Policy>>,
-    /// The advice that queues need, also of those that a later configuration dropped.
+    /// The advice policy of each queue, including queues that a later configuration dropped.
     pub(crate) advice_policies: BTreeMap<Name, AdvicePolicy>,
     pub(crate) replicated: ReplicatedState,
     pub(crate) worker_views: BTreeMap<WorkerId, WorkerView>,
-    /// The workers that no service is known for.
+    /// The workers whose service is not configured.
     pub(crate) unconfigured_workers: UnconfiguredWorkers,
     pub(crate) advice_scheduler: AdviceScheduler,
-    /// The jobs whose runs are to be looked through for some that are not wanted any more.
+    /// The jobs to check for runs that are no longer wanted.
     pub(crate) jobs_to_clean_up: BTreeSet<JobId>,
-    /// Where runs of a task have failed or come on too slowly.
+    /// The workers on which a run of a task failed or made too little progress.
     pub(crate) avoided_workers: BTreeMap<TaskKey, BTreeSet<WorkerId>>,
-    /// When jobs that go on were accepted, by the clock that never jumps.
+    /// When each unfinished job was accepted, by the monotonic clock.
     pub(crate) accepted: BTreeMap<JobId, Millis>,
-    /// The workers that have crashed of late.
+    /// The workers that have crashed recently.
     pub(crate) recent_losses: RecentLosses,
-    /// How fast the tasks of steps come on.
+    /// The progress rates of the tasks of each step.
     pub(crate) step_speeds: BTreeMap<StepKey, StepSpeeds>,
-    /// How long workers take to answer.
+    /// The estimate of how long workers take to answer.
     pub(crate) answer_times: AnswerTimes,
     /// The availability zones that have just fallen silent.
     pub(crate) silent_zones: BTreeSet<Name>,
     batch: Vec<Command>,
-    /// The number of the batch that is being gathered.
+    /// The number of the batch that is being collected.
     batch_number: u64,
-    /// The last batch known to be committed.
+    /// The number of the last batch known to be committed.
     committed: u64,
-    gated: VecDeque<(u64, Gated)>,
+    held: VecDeque<(u64, HeldAction)>,
     actions: Vec<Action>,
-    forget_at: Millis,
-    /// When a line may next tell of a call without a key.
+    clean_up_at: Millis,
+    /// The earliest time for the next log line about a call without a key.
     pub(crate) next_key_log_at: Millis,
-    /// Which of the steps that have lacked a call for long are looked at next.
+    /// The position in the rotation of the steps that have long lacked a call for advice.
     pub(crate) aged_rotation: usize,
-    /// When the last input came.
-    moment: Moment,
-    /// Whether something has happened since the last plan that may let a task start.
+    /// The time of the last input.
+    last_input: Moment,
+    /// Whether something since the last plan may let a task start.
     pub(crate) plan_due: bool,
-    /// When the next plan may be made at the earliest: the longer the last one took, the later.
+    /// The earliest time for the next plan. It is later the longer the last plan took.
     plan_at: Millis,
-    /// What the plan under way, or the last one, has gone through and kept free.
+    /// The working state of the current or last plan: its cost so far and the capacity it has
+    /// reserved.
     pub(crate) plan_state: PlanState,
-    /// Which open steps plans look at.
+    /// Selects the open steps that a plan examines.
     pub(crate) step_selector: StepSelector,
-    /// Since when tasks that last wait, as the last plan began.
+    /// How long long-running tasks have waited, as of the start of the last plan.
     pub(crate) long_running_waits: LongRunningWaits,
-    /// Which of these waits are told of, and when they were.
+    /// Selects the waits to log, and when each was last logged.
     pub(crate) wait_logger: WaitLogger,
 }
 
 impl Dispatcher {
-    /// Takes over from whoever led before.
+    /// Creates a dispatcher that takes over from the previous leader.
     pub fn new(setup: Setup, m: Moment) -> Dispatcher {
         let Setup { limits, term, reader, replicated } = setup;
-        let mut d = Dispatcher {
+        let mut dispatcher = Dispatcher {
             limits,
             term,
             reader,
@@ -128,12 +129,12 @@
             batch: Vec::new(),
             batch_number: 1,
             committed: 0,
-            gated: VecDeque::new(),
+            held: VecDeque::new(),
             actions: Vec::new(),
-            forget_at: m.now,
+            clean_up_at: m.now,
             next_key_log_at: m.now,
             aged_rotation: 0,
-            moment: m,
+            last_input: m,
             plan_due: true,
             plan_at: m.now,
             plan_state: PlanState::default(),
@@ -141,12 +142,12 @@
             long_running_waits: LongRunningWaits::default(),
             wait_logger: WaitLogger::default(),
         };
-        d.inherit(m);
-        d
+        dispatcher.restore(m);
+        dispatcher
     }
 
-    /// Takes up the configuration, the workers and their runs as the log tells of them.
-    fn inherit(&mut self, m: Moment) {
+    /// Restores the configuration, the workers and their runs from the replicated state.
+    fn restore(&mut self, m: Moment) {
         let document = self.replicated.document().clone();
         if document.version > 0 {
             match self.reader.read(&document.text) {
@@ -156,9 +157,9 @@
                 }
             }
         }
-        // A leader before this one may have granted its longest lease up to now.
-        let longest = self.limits.max_lease.plus_percent(MAX_CLOCK_DRIFT_PERCENT);
-        let lapses_at = m.now + longest + LEASE_EXPIRY_MARGIN;
+        // The previous leader may have granted its longest lease just now.
+        let max_lease = self.limits.max_lease.plus_percent(MAX_CLOCK_DRIFT_PERCENT);
+        let lapses_at = m.now + max_lease + LEASE_EXPIRY_MARGIN;
         for (id, worker) in self.replicated.workers() {
             let mut view = WorkerView::new(m.now, lapses_at);
             for (task, run) in &worker.runs {
@@ -180,13 +181,13 @@
         self.accepted = jobs.clone().map(|(id, j)| (*id, accepted_at(j))).collect();
         jobs.for_each(|(id, j)| self.long_running_waits.add_job(*id, &j.spec));
         self.long_running_waits.update(m, &self.replicated);
-        let going_on = self.replicated.jobs().iter().filter(|(_, j)| j.placed() > 0);
-        self.jobs_to_clean_up.extend(going_on.map(|(id, _)| *id));
+        let with_runs = self.replicated.jobs().iter().filter(|(_, j)| j.placed() > 0);
+        self.jobs_to_clean_up.extend(with_runs.map(|(id, _)| *id));
     }
 
-    /// Takes in something that happened.
+    /// Handles an input.
     pub fn handle(&mut self, m: Moment, input: Input) {
-        self.moment = m;
+        self.last_input = m;
         match input {
             Input::Tick => {
                 self.plan_due = true;
@@ -194,7 +195,7 @@
             }
             Input::Committed(batch) => self.on_committed(m, batch),
             Input::Call { token, call } => self.on_call(m, token, call),
-            Input::Announcement(news) => self.on_announcement(m, news),
+            Input::Announcement(announcement) => self.on_announcement(m, announcement),
             Input::Left(worker) => self.on_left(m, &worker),
             Input::Renewed { worker, sent_at, result } => {
                 self.on_renewed(m, &worker, sent_at, result);
@@ -208,14 +209,15 @@
             Input::Advised { id, valid, allowed } => {
                 self.plan_due |= self.advice_scheduler.answered(m.now, id, valid, allowed);
             }
-            Input::AdviceCallers(helpers) => self.advice_scheduler.set_callers(helpers),
+            Input::AdviceCallers(callers) => self.advice_scheduler.set_callers(callers),
         }
     }
 
-    /// Decides what follows from all inputs so far. Gives the number of a batch of commands to put
-    /// into the log, with the commands, if there are any, and what may be done at once.
+    /// Decides on everything received so far. Returns the actions that may be carried out
+    /// immediately and, if there are commands to append to the log, the number of their batch and
+    /// the commands.
     pub fn decide(&mut self, m: Moment) -> (Option<(u64, Vec<Command>)>, Vec<Action>) {
-        self.moment = m;
+        self.last_input = m;
         if m.now < m.leads_until {
             self.stop_unwanted();
             if self.plan_due && m.now >= self.plan_at {
@@ -235,7 +237,7 @@
         (batch, std::mem::take(&mut self.actions))
     }
 
-    /// Gives the book, ahead of the log by what is not committed.
+    /// Returns the replicated state, including commands that are not committed yet.
     pub fn replicated(&self) -> &ReplicatedState {
         &self.replicated
     }
@@ -249,7 +251,7 @@
         self.policy = Some(Arc::new(policy));
     }
 
-    /// Adds a command to the batch and takes it for granted from here on.
+    /// Adds a command to the batch and applies it to the local state immediately.
     pub(crate) fn propose(&mut self, command: Command) {
         self.plan_due = true;
         self.long_running_waits.record_change(&command, &self.replicated);
@@ -257,14 +259,14 @@
         self.batch.push(command);
     }
 
-    /// Gives when the last input came, by the clock that never jumps.
+    /// Returns the time of the last input by the monotonic clock.
     pub(crate) fn now(&self) -> Millis {
-        self.moment.now
+        self.last_input.now
     }
 
-    /// Gives when the last input came, by the wall clock.
+    /// Returns the time of the last input by the wall clock.
     pub(crate) fn wall(&self) -> Millis {
-        self.moment.wall
+        self.last_input.wall
     }
 
     pub(crate) fn act(&mut self, action: Action) {
@@ -284,48 +286,48 @@
         self.actions.push(Action::Reply { token, answer });
     }
 
-    /// Answers once everything that the answer may rest on is committed.
+    /// Answers a call once everything the answer may depend on is committed.
     pub(crate) fn reply(&mut self, token: Token, answer: Answer) {
-        self.hold_back(Gated::Reply { token, answer });
+        self.hold_until_committed(HeldAction::Reply { token, answer });
     }
 
     pub(crate) fn start_when_committed(&mut self, worker: WorkerId, task: TaskKey, run: u32) {
-        self.hold_back(Gated::Start { worker, task, run });
+        self.hold_until_committed(HeldAction::Start { worker, task, run });
     }
 
     pub(crate) fn stop_when_committed(&mut self, worker: WorkerId, task: TaskKey, run: u32) {
-        self.hold_back(Gated::Stop { worker, task, run });
+        self.hold_until_committed(HeldAction::Stop { worker, task, run });
     }
 
     pub(crate) fn renew_when_committed(&mut self, worker: WorkerId) {
-        self.hold_back(Gated::Renew { worker });
+        self.hold_until_committed(HeldAction::Renew { worker });
     }
 
-    fn hold_back(&mut self, gated: Gated) {
+    fn hold_until_committed(&mut self, action: HeldAction) {
         let last = match self.batch.is_empty() {
             true => self.batch_number - 1,
             false => self.batch_number,
         };
-        self.gated.push_back((last, gated));
-        // What rests on nothing that is under way leaves with the next actions.
+        self.held.push_back((last, action));
+        // Actions that depend on no uncommitted command are released immediately.
         if last <= self.committed {
-            self.gated_out(self.moment);
+            self.release_held(self.last_input);
         }
     }
 
     fn on_committed(&mut self, m: Moment, batch: u64) {
         self.committed = self.committed.max(batch);
-        self.gated_out(m);
+        self.release_held(m);
     }
 
-    fn gated_out(&mut self, m: Moment) {
-        while self.gated.front().is_some_and(|(n, _)| *n <= self.committed) {
-            let Some((_, gated)) = self.gated.pop_front() else { return };
-            match gated {
-                Gated::Reply { token, answer } => self.reply_now(token, answer),
-                Gated::Start { worker, task, run } => self.send_start(m, &worker, &task, run),
-                Gated::Stop { worker, task, run } => self.send_stop(&worker, &task, run),
-                Gated::Renew { worker } => self.send_renewal(m, &worker),
+    fn release_held(&mut self, m: Moment) {
+        while self.held.front().is_some_and(|(n, _)| *n <= self.committed) {
+            let Some((_, action)) = self.held.pop_front() else { return };
+            match action {
+                HeldAction::Reply { token, answer } => self.reply_now(token, answer),
+                HeldAction::Start { worker, task, run } => self.send_start(m, &worker, &task, run),
+                HeldAction::Stop { worker, task, run } => self.send_stop(&worker, &task, run),
+                HeldAction::Renew { worker } => self.send_renewal(m, &worker),
             }
         }
     }
@@ -334,14 +336,14 @@
         self.advice_scheduler.expire(m.now);
         self.maintain_workers(m);
         self.clear_suspects(m);
-        if m.now >= self.forget_at {
-            self.forget_at = m.now + CLEANUP_INTERVAL;
-            self.forget(m);
+        if m.now >= self.clean_up_at {
+            self.clean_up_at = m.now + CLEANUP_INTERVAL;
+            self.clean_up(m);
         }
     }
 
-    /// Drops what nobody asks for any more.
-    fn forget(&mut self, m: Moment) {
+    /// Drops state that is no longer needed.
+    fn clean_up(&mut self, m: Moment) {
         self.unconfigured_workers.forget_old(m.now);
         self.log_partial_gangs();
         let before = m.wall.since(self.limits.job_retention);
@@ -350,10 +352,10 @@
             self.propose(Command::Forget { before });
         }
         let replicated = &self.replicated;
-        let goes_on = |id: &JobId| replicated.job(*id).is_some_and(|j| !j.state.is_final());
-        self.advice_scheduler.retain(|k| goes_on(&k.job));
-        self.accepted.retain(|id, _| goes_on(id));
-        self.avoided_workers.retain(|k, _| goes_on(&k.step.job));
-        self.step_speeds.retain(|k, _| goes_on(&k.job));
+        let is_unfinished = |id: &JobId| replicated.job(*id).is_some_and(|j| !j.state.is_final());
+        self.advice_scheduler.retain(|k| is_unfinished(&k.job));
+        self.accepted.retain(|id, _| is_unfinished(id));
+        self.avoided_workers.retain(|k, _| is_unfinished(&k.step.job));
+        self.step_speeds.retain(|k, _| is_unfinished(&k.job));
     }
 }
--- a/components/dispatch/src/incarnations.rs
+++ b/components/dispatch/src/incarnations.rs
@@ -1,7 +1,8 @@
-//! Workers that begin to tell their incarnation, as after an update of the instances or of the workers.
+//! Handles workers that begin to report their incarnation, as after an upgrade of the instances or
+//! of the workers.
 //!
-//! An id is one life of a worker. Those that the log holds without an incarnation go on under an id with one, so that the
-//! next life is not taken for theirs.
+//! A worker id names one incarnation of a worker. Workers that the log holds without an incarnation
+//! are moved to an id with one, so that the next incarnation is not mistaken for the current one.
 
 use events::kinds;
 use workload::{Command, TaskKey, Worker, WorkerId, WorkerInfo};
@@ -11,48 +12,54 @@
 use crate::worker_view::Stage;
 
 impl Dispatcher {
-    /// Tells whether a life of this worker is known that has told its incarnation.
+    /// Returns whether any incarnation of this worker is known that has reported its number.
     pub(crate) fn knows_incarnation(&self, worker: &WorkerId) -> bool {
         let first = worker.incarnation_prefix();
         let prefix = first.0.clone();
         let ids = self.worker_views.range(first..).map(|(id, _)| id);
-        let mut lives = ids.take_while(|id| id.0.starts_with(prefix.as_ref()));
-        lives.any(|id| id.name() == worker.name() && id.incarnation().is_some())
+        let mut incarnations = ids.take_while(|id| id.0.starts_with(prefix.as_ref()));
+        incarnations.any(|id| id.name() == worker.name() && id.incarnation().is_some())
     }
 
-    /// Takes in an announcement that tells an incarnation. A life keeps its address, so one that is called elsewhere is
-    /// none that the log holds without its incarnation.
+    /// Handles an announcement that names an incarnation. An incarnation keeps its address, so one
+    /// at another address is not the one that the log holds without a number.
     pub(crate) fn apply_incarnation(&mut self, m: Moment, info: &WorkerInfo) {
         if self.worker_views.contains_key(&info.id) {
             return;
         }
-        let untold = info.id.without_incarnation();
-        if self.replicated.worker(&untold).is_some_and(|w| w.info.address == info.address) {
-            self.assign_incarnation(m, &untold, info.id.clone());
+        let unnumbered = info.id.without_incarnation();
+        if self.replicated.worker(&unnumbered).is_some_and(|w| w.info.address == info.address) {
+            self.assign_incarnation(m, &unnumbered, info.id.clone());
         }
     }
 
-    /// Has a worker that was known without its incarnation go on under the id of a life that is not known, with its runs.
-    /// Whether these are of this life is told by its first report, as after a change of leader. Its ends are numbered by
-    /// this life, and the last number that the log holds may be of one before: so it begins anew.
-    pub(crate) fn assign_incarnation(&mut self, m: Moment, worker: &WorkerId, life: WorkerId) {
+    /// Moves a worker that was known without its incarnation, with its runs, to the id of the new
+    /// incarnation. As after a change of leader, its first report shows which of the runs belong to
+    /// that incarnation. Run ends are numbered per incarnation, and the last number in the log may
+    /// belong to an earlier one, so the numbering starts again.
+    pub(crate) fn assign_incarnation(
+        &mut self,
+        m: Moment,
+        worker: &WorkerId,
+        incarnation: WorkerId,
+    ) {
         let Some(Worker { info, runs, .. }) = self.replicated.worker(worker).cloned() else {
             return;
         };
         let Some(mut view) = self.worker_views.remove(worker) else { return };
         let runs: Vec<(TaskKey, u32)> = runs.into_iter().collect();
-        self.propose(Command::WorkerJoined(WorkerInfo { id: life.clone(), ..info }));
+        self.propose(Command::WorkerJoined(WorkerInfo { id: incarnation.clone(), ..info }));
         self.propose(Command::NotStarted { worker: worker.clone(), runs: runs.clone() });
-        self.propose(Command::Started { worker: life.clone(), runs });
+        self.propose(Command::Started { worker: incarnation.clone(), runs });
         self.propose(Command::WorkerGone { worker: worker.clone(), saved: Vec::new() });
         view.reset_calls(m.now);
         let held = view.orders.iter().filter(|(_, o)| o.stage == Stage::Held);
         let held: Vec<(TaskKey, u32)> = held.map(|(task, o)| (*task, o.run)).collect();
-        self.worker_views.insert(life.clone(), view);
+        self.worker_views.insert(incarnation.clone(), view);
         for (task, run) in held {
-            self.start_when_committed(life.clone(), task, run);
+            self.start_when_committed(incarnation.clone(), task, run);
         }
-        self.clean_up_runs_of(&life);
-        self.log_event(&kinds::WORKER_JOINED, &life, format!("was={worker}"));
+        self.clean_up_runs_of(&incarnation);
+        self.log_event(&kinds::WORKER_JOINED, &incarnation, format!("was={worker}"));
     }
 }
--- a/components/dispatch/src/renewals.rs
+++ b/components/dispatch/src/renewals.rs
@@ -1,4 +1,4 @@
-//! Renewing workers' leases, and taking in what they report.
+//! Renews the leases of workers and processes their reports.
 
 use std::collections::BTreeSet;
 
@@ -17,7 +17,7 @@
 use crate::workers::IncarnationEnd;
 
 impl Dispatcher {
-    /// Sends the next renewal, unless one is under way.
+    /// Sends the next renewal, unless one is in flight.
     pub(crate) fn send_renewal(&mut self, m: Moment, id: &WorkerId) {
         let Some(worker) = self.replicated.worker(id) else { return };
         let (address, seen, idle) =
@@ -25,10 +25,10 @@
         let (fence, span) = (self.term, self.limits.lease);
         let busy = busy_renewal_wait(self.worker_views.len());
         let Some(view) = self.worker_views.get_mut(id) else { return };
-        // Without contact nothing is granted: the lease must be able to run out.
+        // No lease is granted without contact, so that the lease can expire.
         let deadline = if view.in_contact { view.grant_lease(m.now, span) } else { None };
         let wait = match (view.in_contact, idle) {
-            // The first answer tells the clock and what runs; neither can wait.
+            // The first answer shows the worker's clock and its runs, neither of which can wait.
             (false, _) => Millis::ZERO,
             (true, true) => IDLE_RENEWAL_WAIT,
             (true, false) => busy,
@@ -40,7 +40,7 @@
         self.act(Action::Renew { worker: id.clone(), address, order });
     }
 
-    /// Takes in what came of a renewal.
+    /// Handles the result of a renewal.
     pub(crate) fn on_renewed(
         &mut self,
         m: Moment,
@@ -48,10 +48,10 @@
         sent_at: Millis,
         result: Result<Report, CallError>,
     ) {
-        if let Err(CallError::Named(life)) = &result
-            && !self.worker_views.contains_key(life)
+        if let Err(CallError::Named(incarnation)) = &result
+            && !self.worker_views.contains_key(incarnation)
         {
-            self.assign_incarnation(m, id, life.clone());
+            self.assign_incarnation(m, id, incarnation.clone());
             return;
         }
         let Some(view) = self.worker_views.get_mut(id) else { return };
@@ -92,21 +92,21 @@
         }
         if regained {
             self.plan_due = true;
-            // A clock and a last end that do not belong together tell of two lives under one id.
+            // If the clock and the last run end do not fit together, two incarnations share one id.
             let (runs, clock) = (report.running.len(), report.clock.0);
             let seen = self.replicated.worker(id).map_or(0, |w| w.last_end);
             let details = format!("runs={runs} clock_ms={clock} seen={seen}");
             self.log_event(&kinds::WORKER_REACHED, id, details);
         }
-        let news = self.take_ends(m, id, report.ends);
+        let has_new_ends = self.propose_ends(m, id, report.ends);
         if let Some(view) = self.worker_views.get_mut(id) {
             view.progress.retain(|k, _| view.statuses.contains_key(k));
         }
         self.settle_orders(m, id, sent_at, &report.running);
         self.credit_long_running_runs(m, id, &report.running);
         self.watch_speed(m, id, &report.running);
-        self.stop_strays(id, &report.running);
-        match news {
+        self.stop_stray_runs(id, &report.running);
+        match has_new_ends {
             true => {
                 if let Some(view) = self.worker_views.get_mut(id) {
                     view.renewal_in_flight = true;
@@ -117,15 +117,15 @@
         }
     }
 
-    /// Puts ends that are new into the log; tells whether there were any.
-    fn take_ends(&mut self, m: Moment, id: &WorkerId, ends: Vec<End>) -> bool {
+    /// Proposes the run ends that are new; returns whether there were any.
+    fn propose_ends(&mut self, m: Moment, id: &WorkerId, ends: Vec<End>) -> bool {
         let seen = self.replicated.worker(id).map_or(0, |w| w.last_end);
         let ends: Vec<End> = ends.into_iter().filter(|e| e.number > seen).collect();
         if ends.is_empty() {
             return false;
         }
         for end in &ends {
-            self.judge_end(m, id, end);
+            self.apply_end(m, id, end);
         }
         let jobs: BTreeSet<JobId> = ends.iter().map(|e| e.task.step.job).collect();
         let open = |id: &JobId| self.replicated.job(*id).is_some_and(|j| !j.state.is_final());
@@ -148,7 +148,7 @@
         }
     }
 
-    fn judge_end(&mut self, m: Moment, id: &WorkerId, end: &End) {
+    fn apply_end(&mut self, m: Moment, id: &WorkerId, end: &End) {
         self.jobs_to_clean_up.insert(end.task.step.job);
         let details = format!("run={} worker={id} how={:?} end={}", end.run, end.kind, end.number);
         self.log_event(&kinds::RUN_ENDED, end.task, details);
@@ -175,11 +175,11 @@
         }
     }
 
-    /// Compares the open orders with what the worker lists. A run that it neither lists as running
-    /// nor as ended is settled only if no order for it can be carried out any more.
+    /// Compares the open orders with the worker's report. A run that is neither running nor ended
+    /// there is settled only if no order for it can still be carried out.
     fn settle_orders(&mut self, m: Moment, id: &WorkerId, sent_at: Millis, running: &[RunStatus]) {
         let Some(view) = self.worker_views.get_mut(id) else { return };
-        let mut never = Vec::new();
+        let mut not_started = Vec::new();
         for (task, order) in &mut view.orders {
             let listed = running.iter().any(|r| r.task == *task && r.run == order.run);
             order.stage = match (order.stage, listed) {
@@ -187,28 +187,28 @@
                     order.retry_at = None;
                     Stage::Confirmed { at: m.now }
                 }
-                // Our fence keeps out whatever an older leader sent.
+                // This leader's fencing token keeps out whatever an earlier leader sent.
                 (Stage::Inherited, false) => {
-                    never.push((*task, order.run));
+                    not_started.push((*task, order.run));
                     order.stage
                 }
                 (Stage::Confirmed { at } | Stage::Stopped { at }, false) if at < sent_at => {
-                    never.push((*task, order.run));
+                    not_started.push((*task, order.run));
                     order.stage
                 }
                 (stage, _) => stage,
             };
         }
-        for (task, _) in &never {
+        for (task, _) in &not_started {
             view.orders.remove(task);
         }
-        if !never.is_empty() {
-            self.propose_not_started(id, never, "not listed");
+        if !not_started.is_empty() {
+            self.propose_not_started(id, not_started, "not listed");
         }
     }
 
-    /// Stops runs that the worker lists and the log knows nothing of any more.
-    fn stop_strays(&mut self, id: &WorkerId, running: &[RunStatus]) {
+    /// Stops runs that the worker lists and the log does not know.
+    fn stop_stray_runs(&mut self, id: &WorkerId, running: &[RunStatus]) {
         let Some(worker) = self.replicated.worker(id) else { return };
         let strays: Vec<(TaskKey, u32)> = running
             .iter()
