--- a/components/dispatch/tests/lasting.rs
+++ b/components/dispatch/tests/lasting.rs
@@ -36,70 +36,70 @@
 const CORES: u64 = 16;
 const CALLERS: usize = 10;
 /// How many of a hundred workers the advice service allows for a step.
-const ALLOWED: u64 = 35;
+const ALLOWED_PERCENT: u64 = 35;
 /// How long the mixed workload runs before anything fails.
 const WARM_UP: Millis = Millis(5_000);
 /// How long workers fail what they start.
-const FAILING: Millis = Millis(6_500);
+const FAILURE_DURATION: Millis = Millis(6_500);
 /// How long the fleet is observed after the failures have ended.
-const AFTERWARDS: Millis = Millis(20_000);
+const OBSERVATION_TIME: Millis = Millis(20_000);
 /// The time within which a long-running task must be tried while workers fail, or must run again once they are
 /// healthy.
-const AGAIN: Millis = Millis(3_000);
+const MAX_DOWNTIME: Millis = Millis(3_000);
 /// The same limit where other work competes for all capacity that becomes free.
-const AGAIN_AMONG_OTHERS: Millis = Millis(5_000);
+const MAX_DOWNTIME_AT_FULL_LOAD: Millis = Millis(5_000);
 
-fn whole() -> Size {
+fn worker_size() -> Size {
     Size::new(CORES * 1_000, CORES * 2_000, 0)
 }
 
 /// Returns a step of tasks that run until they are cancelled.
-fn lasting(count: u32) -> StepSpec {
+fn long_running(count: u32) -> StepSpec {
     StepSpec { long_running: true, estimate: Millis(20_000), ..step(count) }
 }
 
 /// A fleet with a mixed workload, and the long-running tasks that must run all the time.
-struct Play {
+struct Simulation {
     f: Fleet,
     mix: JobMix,
     tasks: Vec<TaskKey>,
     /// When each of the tasks last ran.
     ran_at: BTreeMap<TaskKey, Millis>,
     /// When one of the tasks was last without a run.
-    away_at: Millis,
+    last_downtime_at: Millis,
     /// The longest time for which one of the tasks was without a run.
-    longest: Millis,
+    max_downtime: Millis,
     /// The percentage of the capacity in use and the number of busy advice callers, at each step.
     used: Vec<u64>,
     busy: Vec<u64>,
 }
 
-impl Play {
-    fn new(seed: u64) -> Play {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let mut f = Fleet::new(seed, CALLERS);
-        f.allow(ALLOWED);
+        f.allow(ALLOWED_PERCENT);
         // Each case checks a bound of its own.
         f.wait_checker.record_only = true;
         f.downtime_checker.record_only = true;
-        f.join("w", WORKERS, whole());
+        f.join("w", WORKERS, worker_size());
         f.advance(Millis(500));
-        Play {
+        Simulation {
             f,
             // A third of the calls for advice that could be made is enough for this workload.
             mix: JobMix::new(0.3, 0.1, 0.05),
             tasks: Vec::new(),
             ran_at: BTreeMap::new(),
-            away_at: Millis::ZERO,
-            longest: Millis::ZERO,
+            last_downtime_at: Millis::ZERO,
+            max_downtime: Millis::ZERO,
             used: Vec::new(),
             busy: Vec::new(),
         }
     }
 
     /// Returns the same with 24 long-running tasks that run.
-    fn with_pairs(seed: u64) -> Play {
-        let mut p = Play::new(seed);
-        p.submit_job("mid", &lasting(2), 12);
+    fn with_running_tasks(seed: u64) -> Simulation {
+        let mut p = Simulation::new(seed);
+        p.submit_job("mid", &long_running(2), 12);
         p.warm_up();
         p
     }
@@ -127,16 +127,16 @@
 
     fn warm_up(&mut self) {
         self.drive(WARM_UP);
-        assert_eq!(self.away(), 0, "all long-running tasks run before anything fails");
-        self.begin();
+        assert_eq!(self.down_count(), 0, "all long-running tasks run before anything fails");
+        self.reset_records();
     }
 
     /// Discards what was recorded so far.
-    fn begin(&mut self) {
+    fn reset_records(&mut self) {
         let now = self.f.harness.now;
         self.ran_at = self.tasks.iter().map(|t| (*t, now)).collect();
-        self.longest = Millis::ZERO;
-        self.away_at = now;
+        self.max_downtime = Millis::ZERO;
+        self.last_downtime_at = now;
         self.used.clear();
         self.busy.clear();
     }
@@ -145,7 +145,7 @@
         let until = self.f.harness.now + span;
         while self.f.harness.now < until {
             self.mix.drive(&mut self.f, STEP);
-            self.note();
+            self.record();
         }
     }
 
@@ -153,20 +153,20 @@
         self.f.hosts.values().any(|h| h.fake.running.contains_key(task))
     }
 
-    fn away(&self) -> usize {
+    fn down_count(&self) -> usize {
         self.tasks.iter().filter(|t| !self.runs(t)).count()
     }
 
-    fn note(&mut self) {
+    fn record(&mut self) {
         let now = self.f.harness.now;
         for task in self.tasks.clone() {
             if self.runs(&task) {
                 self.ran_at.insert(task, now);
                 continue;
             }
-            self.away_at = now;
+            self.last_downtime_at = now;
             let since = *self.ran_at.entry(task).or_insert(now);
-            self.longest = self.longest.max(now.since(since));
+            self.max_downtime = self.max_downtime.max(now.since(since));
         }
         let figures = self.f.harness.dispatcher.figures();
         self.used.push(figures.used.cpu_milli * 100 / figures.capacity.cpu_milli);
@@ -186,18 +186,18 @@
     /// Has workers fail everything that they start for a while, and half of the tasks fail by themselves meanwhile.
     /// Returns the longest time for which a task was not tried, and how long after the end of the failures a task was
     /// last without a run.
-    fn trouble(&mut self, on: &[WorkerId]) -> (Millis, Millis) {
-        self.begin();
+    fn run_with_failures(&mut self, on: &[WorkerId]) -> (Millis, Millis) {
+        self.reset_records();
         on.iter().for_each(|id| self.f.set_failing(id, true));
         for part in 0..5 {
             let some = (part..self.tasks.len()).step_by(10);
             some.for_each(|at| self.fail(at));
-            self.drive(Millis(FAILING.0 / 5));
+            self.drive(Millis(FAILURE_DURATION.0 / 5));
         }
         on.iter().for_each(|id| self.f.set_failing(id, false));
-        let (well_at, untried) = (self.f.harness.now, self.longest);
-        self.drive(AFTERWARDS);
-        (untried, self.away_at.since(well_at))
+        let (recovered_at, untried) = (self.f.harness.now, self.max_downtime);
+        self.drive(OBSERVATION_TIME);
+        (untried, self.last_downtime_at.since(recovered_at))
     }
 
     /// Returns how many jobs of a kind have failed although they could succeed.
@@ -212,11 +212,11 @@
     fn longest_quick_wait(&self, from: Millis) -> Millis {
         let (f, now) = (&self.f, self.f.harness.now);
         let quick = f.jobs.iter().filter(|(_, j)| j.kind == Kind::Quick && j.at >= from);
-        let well = quick.filter(|(id, _)| !f.failures.jobs.contains(id));
-        well.map(|(_, j)| j.first_start.unwrap_or(now).since(j.at)).max().unwrap_or_default()
+        let feasible = quick.filter(|(id, _)| !f.failures.jobs.contains(id));
+        feasible.map(|(_, j)| j.first_start.unwrap_or(now).since(j.at)).max().unwrap_or_default()
     }
 
-    fn figures(&self) -> String {
+    fn summary(&self) -> String {
         let f = self.f.harness.dispatcher.figures();
         format!(
             "cpu_milli={}/{} open_steps={} busy={}/{} without_caller={}, longest wait of any step {:?}",
@@ -232,38 +232,41 @@
 }
 
 /// Returns the percentile `percent` of some values.
-fn part(mut figures: Vec<u64>, percent: usize) -> u64 {
-    figures.sort_unstable();
-    figures[figures.len() * percent / 100]
+fn percentile(mut values: Vec<u64>, percent: usize) -> u64 {
+    values.sort_unstable();
+    values[values.len() * percent / 100]
 }
 
-fn assert_tried((untried, again): (Millis, Millis), p: &Play, what: &str) {
+fn assert_tried((untried, downtime_after): (Millis, Millis), p: &Simulation, what: &str) {
     println!(
-        "{what}: not tried for {untried:?}, without a run {again:?} after the failures; {}",
-        p.figures()
+        "{what}: not tried for {untried:?}, without a run {downtime_after:?} after the failures; {}",
+        p.summary()
+    );
+    assert!(untried <= MAX_DOWNTIME, "{what}: not tried for {untried:?} while workers fail");
+    assert!(
+        downtime_after <= MAX_DOWNTIME,
+        "{what}: without a run {downtime_after:?} after the workers are healthy"
     );
-    assert!(untried <= AGAIN, "{what}: not tried for {untried:?} while workers fail");
-    assert!(again <= AGAIN, "{what}: without a run {again:?} after the workers are healthy");
 }
 
-mod beside_room {
+mod with_free_capacity {
     use super::*;
 
     #[rstest]
     fn all_workers_fail_for_a_while(#[values(1, 2, 3)] seed: u64) {
-        let mut p = Play::with_pairs(seed);
+        let mut p = Simulation::with_running_tasks(seed);
         let all = p.all_workers();
-        let came = p.trouble(&all);
-        assert_tried(came, &p, &format!("all workers fail, seed {seed}"));
+        let downtimes = p.run_with_failures(&all);
+        assert_tried(downtimes, &p, &format!("all workers fail, seed {seed}"));
     }
 
     /// Most workers fail for a while; the others have capacity for all tasks.
     #[rstest]
     fn most_workers_fail_for_a_while(#[values(1, 2, 3)] seed: u64) {
-        let mut p = Play::with_pairs(seed);
+        let mut p = Simulation::with_running_tasks(seed);
         let most: Vec<WorkerId> = p.all_workers().into_iter().skip(6).collect();
-        let came = p.trouble(&most);
-        assert_tried(came, &p, &format!("most workers fail, seed {seed}"));
+        let downtimes = p.run_with_failures(&most);
+        assert_tried(downtimes, &p, &format!("most workers fail, seed {seed}"));
     }
 
     /// Some of the quick jobs fail wherever they run, on workers that are all healthy. What fails everywhere is no
@@ -276,39 +279,43 @@
     #[case::half(50, 32)]
     fn jobs_that_can_never_be_done(
         #[case] percent: u64,
-        #[case] least: usize,
+        #[case] bound: usize,
         #[values(1, 2, 3)] seed: u64,
     ) {
-        let mut p = Play::with_pairs(seed);
+        let mut p = Simulation::with_running_tasks(seed);
         p.mix.failing_percent = percent;
         let from = p.f.harness.now;
-        let mut fewest = WORKERS;
+        let mut min_given_work = WORKERS;
         for at in 0..15 {
             p.fail(at * 7);
             p.drive(Millis(1_000));
             let now = p.f.harness.now;
             if now.since(from) >= Millis(3_000) {
                 let given_work = p.f.failures.workers_with_starts(now.since(Millis(3_000)), now);
-                fewest = fewest.min(given_work);
+                min_given_work = min_given_work.min(given_work);
             }
         }
-        let (away, quick, failed) = (p.longest, p.longest_quick_wait(from), p.failed(Kind::Quick));
+        let (downtime, quick, failed) =
+            (p.max_downtime, p.longest_quick_wait(from), p.failed(Kind::Quick));
         let what = format!("{percent}% can never succeed, seed {seed}");
         println!(
-            "{what}: without a run for {away:?}, quick jobs wait {quick:?}, {failed} that could succeed failed, \
-         {fewest} workers given work; {}",
-            p.figures()
+            "{what}: without a run for {downtime:?}, quick jobs wait {quick:?}, {failed} that could succeed failed, \
+         {min_given_work} workers given work; {}",
+            p.summary()
+        );
+        assert!(
+            downtime <= MAX_DOWNTIME,
+            "{what}: a long-running task is without a run for {downtime:?}"
         );
-        assert!(away <= AGAIN, "{what}: a long-running task is without a run for {away:?}");
         assert!(quick <= Millis(500), "{what}: a quick job waits for {quick:?}");
-        assert!(fewest >= least, "{what}: {fewest} workers are given work");
+        assert!(min_given_work >= bound, "{what}: {min_given_work} workers are given work");
         assert_eq!(failed, 0, "{what}: jobs that could succeed fail");
     }
 
     /// Runs that run at the same time and fail together count as one failure, however many they are.
     #[rstest]
     fn runs_that_fail_together_count_once(#[values(1, 2, 3)] seed: u64) {
-        let mut p = Play::new(seed);
+        let mut p = Simulation::new(seed);
         p.f.allow_all();
         p.mix = JobMix::new(0.2, 0.0, 0.0);
         // Work for the whole capacity, which needs no long calls for advice.
@@ -318,87 +325,91 @@
         }
         p.drive(WARM_UP);
         let one = p.all_workers().remove(0);
-        let there: Vec<TaskKey> = p.f.hosts[&one].fake.running.keys().copied().collect();
-        assert!(there.len() >= 10, "{} tasks run on the worker", there.len());
+        let running: Vec<TaskKey> = p.f.hosts[&one].fake.running.keys().copied().collect();
+        assert!(running.len() >= 10, "{} tasks run on the worker", running.len());
         let from = p.f.harness.now;
-        there.iter().take(10).for_each(|t| {
+        running.iter().take(10).for_each(|t| {
             p.f.fail_now(t);
         });
-        p.drive(AFTERWARDS);
+        p.drive(OBSERVATION_TIME);
         let starts = p.f.failures.starts.iter().filter(|s| s.worker == one && s.at > from);
         let first = starts.map(|s| s.at.since(from)).min();
-        println!("runs fail together, seed {seed}: tried after {first:?}; {}", p.figures());
+        println!("runs fail together, seed {seed}: tried after {first:?}; {}", p.summary());
         assert!(first.is_some_and(|at| at <= Millis(5_000)), "tried after {first:?}");
     }
 
     /// The few workers with a label fail for a while. No other worker may take the task.
     #[rstest]
     fn the_workers_with_a_label_fail(#[values(1, 2, 3)] seed: u64) {
-        let mut p = Play::new(seed);
-        p.f.join("few", 4, whole());
+        let mut p = Simulation::new(seed);
+        p.f.join("few", 4, worker_size());
         p.f.allow_all();
         p.f.advance(Millis(500));
-        p.submit_job("mid", &StepSpec { constraint: Some("few".into()), ..lasting(4) }, 2);
+        p.submit_job("mid", &StepSpec { constraint: Some("few".into()), ..long_running(4) }, 2);
         p.warm_up();
         let few = p.f.workers(|h| h.info.labels.contains(&"few".into()));
-        let came = p.trouble(&few);
-        assert_tried(came, &p, &format!("workers with a label fail, seed {seed}"));
+        let downtimes = p.run_with_failures(&few);
+        assert_tried(downtimes, &p, &format!("workers with a label fail, seed {seed}"));
     }
 
     /// The few workers that advice allows for a step fail for a while.
     #[rstest]
     fn the_workers_that_are_allowed_fail(#[values(1, 2, 3)] seed: u64) {
-        let mut p = Play::new(seed);
+        let mut p = Simulation::new(seed);
         p.f.allow(10);
-        p.submit_job_where(&lasting(4), 3..=6);
+        p.submit_job_where(&long_running(4), 3..=6);
         p.warm_up();
         let few = p.f.allowed(&p.tasks[0].step);
-        let came = p.trouble(&few);
-        assert_tried(came, &p, &format!("{} allowed workers fail, seed {seed}", few.len()));
+        let downtimes = p.run_with_failures(&few);
+        assert_tried(downtimes, &p, &format!("{} allowed workers fail, seed {seed}", few.len()));
     }
 
     /// Each worker may run one task of a step, few workers are allowed, and two thirds of all workers fail for a
     /// while.
     #[rstest]
     fn few_workers_for_a_step_that_spreads(#[values(1, 2, 3)] seed: u64) {
-        let mut p = Play::new(seed);
+        let mut p = Simulation::new(seed);
         p.f.allow(14);
         for _ in 0..6 {
-            p.submit_job_where(&StepSpec { max_per_worker: 1, ..lasting(3) }, 4..=8);
+            p.submit_job_where(&StepSpec { max_per_worker: 1, ..long_running(3) }, 4..=8);
         }
         p.warm_up();
         let all = p.all_workers();
-        let bad: Vec<WorkerId> =
+        let faulty: Vec<WorkerId> =
             all.into_iter().enumerate().filter(|(i, _)| i % 3 > 0).map(|(_, id)| id).collect();
-        let came = p.trouble(&bad);
-        assert_tried(came, &p, &format!("a step that spreads its tasks, seed {seed}"));
+        let downtimes = p.run_with_failures(&faulty);
+        assert_tried(downtimes, &p, &format!("a step that spreads its tasks, seed {seed}"));
     }
 
     /// More work waits than can run. Some of it is more urgent than the long-running tasks, some is less urgent, and
     /// its tasks are smaller. All instances that may make long calls for advice make them.
     #[rstest]
-    fn a_backlog_seeks_whatever_comes_free(#[values(1, 2, 3)] seed: u64) {
-        let mut p = Play::new(seed);
+    fn a_backlog_takes_all_capacity_that_becomes_free(#[values(1, 2, 3)] seed: u64) {
+        let mut p = Simulation::new(seed);
         p.mix = JobMix::new(0.2, 0.1, 0.0);
-        p.submit_job("bulk", &StepSpec { size: Size::new(2_000, 2_000, 0), ..lasting(1) }, 16);
+        p.submit_job("bulk", &StepSpec { size: Size::new(2_000, 2_000, 0), ..long_running(1) }, 16);
         p.warm_up();
         p.mix.wide = 0.65;
         p.drive(Millis(6_000));
-        p.begin();
+        p.reset_records();
         for at in 0..12 {
             p.fail(at);
             p.drive(Millis(1_500));
         }
-        p.drive(AGAIN_AMONG_OTHERS);
-        let (used, busy) = (part(p.used.clone(), 50), part(p.busy.clone(), 50));
+        p.drive(MAX_DOWNTIME_AT_FULL_LOAD);
+        let (used, busy) = (percentile(p.used.clone(), 50), percentile(p.busy.clone(), 50));
         println!(
             "a backlog, seed {seed}: without a run for {:?}, {} at the end, {used}% in use, {busy} busy; {}",
-            p.longest,
-            p.away(),
-            p.figures()
+            p.max_downtime,
+            p.down_count(),
+            p.summary()
         );
         assert!(used >= 85, "{used}% of the capacity is in use");
-        assert!(p.longest <= AGAIN_AMONG_OTHERS, "without a run for {:?}", p.longest);
+        assert!(
+            p.max_downtime <= MAX_DOWNTIME_AT_FULL_LOAD,
+            "without a run for {:?}",
+            p.max_downtime
+        );
     }
 }
 
@@ -419,26 +430,28 @@
 #[case::a_third(3, Waste { quick_runs: 881, batch_runs: 334, failed_jobs: 71 })]
 fn a_worker_that_fails_what_is_well_elsewhere(#[case] one_in: usize, #[case] bound: Waste) {
     let mut waste = Waste::default();
-    let mut away = Millis::ZERO;
+    let mut downtime = Millis::ZERO;
     for seed in 1..=6 {
-        let mut p = Play::with_pairs(seed);
-        let bad: Vec<WorkerId> = p.all_workers().into_iter().step_by(one_in).collect();
-        bad.iter().for_each(|id| p.f.set_failing(id, true));
+        let mut p = Simulation::with_running_tasks(seed);
+        let faulty: Vec<WorkerId> = p.all_workers().into_iter().step_by(one_in).collect();
+        faulty.iter().for_each(|id| p.f.set_failing(id, true));
         for at in 0..12 {
             p.fail(at * 7);
             p.drive(Millis(1_000));
         }
-        bad.iter().for_each(|id| p.f.set_failing(id, false));
+        faulty.iter().for_each(|id| p.f.set_failing(id, false));
         p.drive(Millis(6_000));
         waste.quick_runs += p.f.failures.wasted(Kind::Quick);
         waste.batch_runs += p.f.failures.wasted(Kind::Batch) + p.f.failures.wasted(Kind::Gang);
         let kinds = [Kind::Quick, Kind::Batch, Kind::Gang];
         waste.failed_jobs += kinds.into_iter().map(|kind| p.failed(kind)).sum::<usize>();
-        away = away.max(p.longest);
+        downtime = downtime.max(p.max_downtime);
     }
-    println!("one in {one_in} fails: {waste:?}, a long-running task is without a run for {away:?}");
+    println!(
+        "one in {one_in} fails: {waste:?}, a long-running task is without a run for {downtime:?}"
+    );
     assert!(waste.quick_runs <= bound.quick_runs, "{waste:?}");
     assert!(waste.batch_runs <= bound.batch_runs, "{waste:?}");
     assert!(waste.failed_jobs <= bound.failed_jobs, "{waste:?}");
-    assert!(away <= AGAIN, "a long-running task is without a run for {away:?}");
+    assert!(downtime <= MAX_DOWNTIME, "a long-running task is without a run for {downtime:?}");
 }
--- a/components/dispatch/tests/lasting_schedules.rs
+++ b/components/dispatch/tests/lasting_schedules.rs
@@ -24,11 +24,11 @@
 /// How many events happen in one schedule, one after the other.
 const EVENTS: usize = 25;
 /// How long no event happens in the end, while callers go on submitting jobs.
-const CALM: Millis = Millis(30_000);
+const CALM_DURATION: Millis = Millis(30_000);
 /// The time within which all jobs must have ended after that.
-const SETTLED: Millis = Millis(60_000);
+const SETTLE_TIME: Millis = Millis(60_000);
 /// How many runs of a task must fail for its job to fail.
-const FEWEST_FAILS: usize = 2;
+const MIN_FAILED_RUNS: usize = 2;
 
 /// Draws one of some values.
 fn one_of<T: Copy>(f: &mut Fleet, values: &[T]) -> T {
@@ -36,7 +36,7 @@
 }
 
 /// Submits a job of long-running tasks, of which some fail by themselves again and again.
-fn hand_in_lasting(f: &mut Fleet) {
+fn submit_long_running(f: &mut Fleet) {
     let count = 1 + f.random_below(3) as u32;
     let max_per_worker = f.random_below(2) as u32;
     let constraint = (f.random_below(4) == 0).then(|| "few".into());
@@ -58,16 +58,16 @@
 }
 
 /// Returns every `one_in`-th usable worker, from a random one on.
-fn some(f: &mut Fleet, one_in: usize) -> Vec<WorkerId> {
+fn every_nth(f: &mut Fleet, one_in: usize) -> Vec<WorkerId> {
     let first = f.random_below(one_in as u64) as usize;
     f.workers(Host::is_usable).into_iter().skip(first).step_by(one_in).collect()
 }
 
 fn set_failing(f: &mut Fleet, one_in: usize) {
-    some(f, one_in).iter().for_each(|id| f.set_failing(id, true));
+    every_nth(f, one_in).iter().for_each(|id| f.set_failing(id, true));
 }
 
-fn make_well(f: &mut Fleet) {
+fn stop_failures(f: &mut Fleet) {
     f.workers(|h| h.failing).iter().for_each(|id| f.set_failing(id, false));
 }
 
@@ -89,11 +89,11 @@
             set_failing(f, 1);
             let span = Millis(500 + f.random_below(5_000));
             mix.drive(f, span);
-            make_well(f);
+            stop_failures(f);
         }
-        3 | 4 => make_well(f),
+        3 | 4 => stop_failures(f),
         5 => mix.failing_percent = one_of(f, &[0, 10, 33, 50]),
-        6 => hand_in_lasting(f),
+        6 => submit_long_running(f),
         7 | 8 => fail_some(f),
         9 => (0..10).for_each(|_| mix::wide(f)),
         10 => {
@@ -102,7 +102,7 @@
             f.take_over();
         }
         _ => {
-            let lost = some(f, 16);
+            let lost = every_nth(f, 16);
             lost.iter().for_each(|id| f.crash(id));
         }
     }
@@ -121,7 +121,7 @@
     f.join("w", 36, size);
     f.join("few", 6, size);
     f.advance(Millis(500));
-    (0..12).for_each(|_| hand_in_lasting(&mut f));
+    (0..12).for_each(|_| submit_long_running(&mut f));
     f
 }
 
@@ -133,28 +133,28 @@
     for _ in 0..EVENTS {
         disturb(&mut f, &mut mix);
     }
-    make_well(&mut f);
+    stop_failures(&mut f);
     // Jobs that can never succeed are no fault of the fleet's, and go on for a while.
-    mix.drive(&mut f, Millis(CALM.0 / 2));
+    mix.drive(&mut f, Millis(CALM_DURATION.0 / 2));
     mix.failing_percent = 0;
-    mix.drive(&mut f, Millis(CALM.0 / 2));
-    let (away, stood) = (f.downtime_checker.longest, f.wait_checker.longest);
+    mix.drive(&mut f, Millis(CALM_DURATION.0 / 2));
+    let (max_downtime, max_wait) = (f.downtime_checker.longest, f.wait_checker.longest);
     println!(
-        "seed {seed}: a long-running task was without a run for {away:?}, longest wait of any step {stood:?}"
+        "seed {seed}: a long-running task was without a run for {max_downtime:?}, longest wait of any step {max_wait:?}"
     );
     // By now no job that can never succeed is left, and no worker may be quarantined for long.
     f.wait_checker.record_only = false;
-    f.advance(SETTLED);
+    f.advance(SETTLE_TIME);
     check(&f, seed);
 }
 
 /// Checks that every job has reached its expected end.
 fn check(f: &Fleet, seed: u64) {
-    let wasted = wasted(f);
-    for (id, job) in f.jobs.iter().filter(|(id, _)| can_run(f, **id)) {
+    let max_wasted_runs = max_wasted_runs(f);
+    for (id, job) in f.jobs.iter().filter(|(id, _)| has_allowed_workers(f, **id)) {
         let state = f.harness.committed.job(*id).map(|j| j.state);
         let kind = job.kind;
-        let most = wasted.get(id).copied().unwrap_or(0);
+        let most = max_wasted_runs.get(id).copied().unwrap_or(0);
         match kind {
             Kind::LongRunning => {
                 let is_over = state.is_none_or(JobState::is_final);
@@ -164,7 +164,7 @@
                 assert_eq!(state, Some(JobState::Failed), "seed {seed}: {id}, {kind:?}");
             }
             _ if state == Some(JobState::Failed) => {
-                let is_lost = most >= FEWEST_FAILS || crashes(f, *id) >= u32::from(MAX_CRASHES);
+                let is_lost = most >= MIN_FAILED_RUNS || crashes(f, *id) >= u32::from(MAX_CRASHES);
                 assert!(is_lost, "seed {seed}: {id} failed, {most} runs of a task were wasted");
             }
             _ => assert_eq!(state, Some(JobState::Completed), "seed {seed}: {id}, {kind:?}"),
@@ -175,7 +175,7 @@
 /// Returns whether every step of a job has workers on which it may run: where few workers are allowed, none of the
 /// present ones is for some steps. A gang takes a whole worker, and long-running tasks may hold a part of some for
 /// good.
-fn can_run(f: &Fleet, job: JobId) -> bool {
+fn has_allowed_workers(f: &Fleet, job: JobId) -> bool {
     let fewest = if f.jobs[&job].kind == Kind::Gang { 3 } else { 1 };
     let is_there = |id: &&WorkerId| f.hosts[*id].is_usable();
     let allowed = |step| f.allowed(&task(job.0, step, 0).step).iter().filter(is_there).count();
@@ -189,7 +189,7 @@
 }
 
 /// Returns for each job the largest number of wasted runs of one of its tasks; a gang counts as one task.
-fn wasted(f: &Fleet) -> BTreeMap<JobId, usize> {
+fn max_wasted_runs(f: &Fleet) -> BTreeMap<JobId, usize> {
     let mut by_task: BTreeMap<TaskKey, usize> = BTreeMap::new();
     for start in f.failures.starts.iter().filter(|s| s.is_wasted) {
         let index = if start.kind == Kind::Gang { 0 } else { start.task.index };
@@ -211,8 +211,9 @@
 /// Runs the seeds that the environment names.
 #[test]
 fn tasks_that_last_are_at_work_again_with_more_seeds() {
-    let asked = std::env::var("HEATHVALE_LASTING_SEEDS").unwrap_or_default();
-    let range = asked.split_once('-').and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
+    let requested = std::env::var("HEATHVALE_LASTING_SEEDS").unwrap_or_default();
+    let range =
+        requested.split_once('-').and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
     if let Some((from, to)) = range {
         (from..=to).for_each(drive);
     }
--- a/components/dispatch/tests/life_schedules.rs
+++ b/components/dispatch/tests/life_schedules.rs
@@ -18,9 +18,13 @@
 /// How many events happen in one schedule, one after the other.
 const EVENTS: usize = 30;
 /// The minimum age of an incarnation before it may end, so that no two of one name begin at the same time.
-const SHORTEST_LIFE: Millis = Millis(50);
+const MIN_AGE: Millis = Millis(50);
 
-fn some(f: &mut Fleet, one_in: u64, wanted: impl Fn(&Fleet, &WorkerId) -> bool) -> Vec<WorkerId> {
+fn every_nth(
+    f: &mut Fleet,
+    one_in: u64,
+    wanted: impl Fn(&Fleet, &WorkerId) -> bool,
+) -> Vec<WorkerId> {
     let first = f.random_below(one_in) as usize;
     let all = f.workers(Host::is_usable).into_iter().filter(|id| wanted(f, id));
     all.skip(first).step_by(one_in as usize).collect()
@@ -28,8 +32,8 @@
 
 fn restart(f: &mut Fleet, one_in: u64) {
     f.crashes.down_for = Millis(20 + f.random_below(1_500));
-    let is_old = |f: &Fleet, id: &WorkerId| id.incarnation().is_some() && f.age(id) > SHORTEST_LIFE;
-    some(f, one_in, is_old).iter().for_each(|id| f.crash(id));
+    let is_old = |f: &Fleet, id: &WorkerId| id.incarnation().is_some() && f.age(id) > MIN_AGE;
+    every_nth(f, one_in, is_old).iter().for_each(|id| f.crash(id));
 }
 
 fn play_for(f: &mut Fleet, mix: &mut JobMix, span: Millis) {
@@ -42,7 +46,7 @@
 
 fn disturb(f: &mut Fleet, mix: &mut JobMix) {
     match f.random_below(10) {
-        0 | 1 => some(f, 3, |_, id| id.incarnation().is_none())
+        0 | 1 => every_nth(f, 3, |_, id| id.incarnation().is_none())
             .iter()
             .for_each(|id| f.announce_incarnation(id)),
         2 | 3 => restart(f, 9),
@@ -57,7 +61,7 @@
             play_for(f, mix, Millis(700));
             f.take_over();
         }
-        8 => some(f, 20, |_, _| true).iter().for_each(|id| f.announce_leaving(id)),
+        8 => every_nth(f, 20, |_, _| true).iter().for_each(|id| f.announce_leaving(id)),
         _ => {}
     }
     let pause = Millis(200 + f.random_below(1_500));
@@ -82,9 +86,10 @@
 }
 
 #[test]
-fn lives_are_told_apart_on_random_schedules() {
-    let asked = std::env::var("HEATHVALE_LIFE_SEEDS").unwrap_or_default();
-    let range = asked.split_once('-').and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
+fn incarnations_are_distinguished_on_random_schedules() {
+    let requested = std::env::var("HEATHVALE_LIFE_SEEDS").unwrap_or_default();
+    let range =
+        requested.split_once('-').and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
     match range {
         Some((from, to)) => (from..=to).filter(|seed| *seed != 45).for_each(drive),
         None => SEEDS.for_each(drive),
--- a/components/dispatch/tests/loads.rs
+++ b/components/dispatch/tests/loads.rs
@@ -20,7 +20,7 @@
 /// How long the everyday mix runs before the pattern begins.
 const WARM_UP: Millis = Millis(4_000);
 /// The longest time for which a long-running task may be without a run while there is capacity for it.
-const LONGEST_RESTART: Millis = Millis(3_000);
+const MAX_DOWNTIME: Millis = Millis(3_000);
 
 fn worker_size() -> Size {
     Size::new(CORES * 1_000, CORES * 2_000, 0)
@@ -158,7 +158,7 @@
 
 /// A step that is always open must not keep later ones from capacity that becomes free.
 #[test]
-fn steps_wider_than_the_room_before_other_work() {
+fn steps_wider_than_the_capacity_before_other_work() {
     for seed in SEEDS {
         let mut f = fleet(seed, 12);
         f.advance(Millis(2_000));
@@ -174,18 +174,18 @@
 }
 
 /// Returns a step whose tasks hold half of a worker for long.
-fn lengthy(label: &str, estimate: Millis) -> StepSpec {
+fn long_step(label: &str, estimate: Millis) -> StepSpec {
     let size = Size::new(CORES * 500, CORES * 1_000, 0);
     let constraint = Some(label.into());
     StepSpec { size, constraint, estimate, ..step(4) }
 }
 
 /// Submits 150 steps for some workers at once, and after a while jobs for others that stay nearly idle.
-fn hand_in_behind_many_steps(f: &mut Fleet, estimate: Millis, after: Millis, pause: Millis) {
+fn submit_behind_many_steps(f: &mut Fleet, estimate: Millis, after: Millis, pause: Millis) {
     f.join("free", 12, worker_size());
     f.advance(Millis(2_000));
     for _ in 0..150 {
-        f.submit_job(Kind::Wide, "mid", vec![lengthy("w", estimate)]);
+        f.submit_job(Kind::Wide, "mid", vec![long_step("w", estimate)]);
     }
     let mut quick_jobs = JobMix::new(0.03, 0.0, 0.0);
     quick_jobs.drive(f, after);
@@ -206,13 +206,13 @@
     for seed in SEEDS {
         let mut f = fleet(seed, 6);
         let (estimate, after) = (Millis(12_000), Millis(6_000));
-        hand_in_behind_many_steps(&mut f, estimate, after, Millis(1_000));
+        submit_behind_many_steps(&mut f, estimate, after, Millis(1_000));
         finish(f, "many steps", &[quick(200, 500), batch(1_500, 1_500), wide(100_000)]);
     }
 }
 
 /// Returns the long-running tasks that run, with their workers.
-fn lasting(f: &Fleet) -> Vec<(WorkerId, TaskKey)> {
+fn running_tasks(f: &Fleet) -> Vec<(WorkerId, TaskKey)> {
     let on = |(id, h): (&WorkerId, &Host)| {
         h.long_running_tasks().map(|key| (id.clone(), key)).collect::<Vec<_>>()
     };
@@ -221,7 +221,7 @@
 
 /// Makes one of the long-running tasks fail.
 fn fail_one(f: &mut Fleet) -> TaskKey {
-    let running = lasting(f);
+    let running = running_tasks(f);
     let at = f.random_below(running.len() as u64) as usize;
     let (worker, task) = &running[at];
     let now = f.harness.now;
@@ -242,9 +242,9 @@
         mix::long_running_job(&mut f, Some("keep"));
     }
     f.advance(Millis(6_000));
-    let all = lasting(&f).len();
+    let all = running_tasks(&f).len();
     for _ in 0..80 {
-        f.submit_job(Kind::Wide, "mid", vec![lengthy("w", Millis(6_000))]);
+        f.submit_job(Kind::Wide, "mid", vec![long_step("w", Millis(6_000))]);
     }
     let mut mix = JobMix::new(quick_share, 0.0, 0.0);
     mix.drive(&mut f, Millis(2_000));
@@ -253,13 +253,13 @@
         let task = fail_one(&mut f);
         failed.push((f.harness.now, task));
         mix.drive(&mut f, Millis(250));
-        let running = lasting(&f);
+        let running = running_tasks(&f);
         failed.retain(|(_, task)| !running.iter().any(|(_, t)| t == task));
-        let late = failed.iter().find(|(at, _)| f.harness.now.since(*at) > LONGEST_RESTART);
+        let late = failed.iter().find(|(at, _)| f.harness.now.since(*at) > MAX_DOWNTIME);
         assert_eq!(late, None, "seed {seed}: a long-running task is not started again");
     }
-    f.advance(LONGEST_RESTART);
-    assert_eq!((all, lasting(&f).len()), (48, 48), "seed {seed}: all run again");
+    f.advance(MAX_DOWNTIME);
+    assert_eq!((all, running_tasks(&f).len()), (48, 48), "seed {seed}: all run again");
     finish(f, "long-running tasks", &[quick(200, 500), wide(30_000)]);
 }
 
--- a/components/dispatch/tests/organisations.rs
+++ b/components/dispatch/tests/organisations.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_queue_that_is_not_there_is_told_before_a_key_is_asked_for() {
+fn a_missing_queue_is_reported_before_a_key_is_required() {
     let mut b = Harness::new(TWO);
     let elsewhere = "/none/00000000000000aa";
     assert_eq!(submit_to(&mut b, Credential::None, elsewhere), Some(Answer::NoQueue));
@@ -62,16 +62,16 @@
 #[case::nobody("key-c", Answer::NoKey, Answer::NoKey)]
 fn a_job_is_seen_and_cancelled_by_its_organisation_only(
     #[case] key: &str,
-    #[case] looked: Answer,
-    #[case] cancelled: Answer,
+    #[case] expected_look: Answer,
+    #[case] expected_cancel: Answer,
 ) {
     let mut b = Harness::new(TWO);
     submit_to(&mut b, with_key("key-a"), PATH);
     let look = b.call_with(with_key(key), PATH, Verb::Query);
     let cancel = b.call_with(with_key(key), PATH, Verb::Cancel);
     b.commit();
-    assert_eq!(b.answer(look), Some(&looked));
-    assert_eq!(b.answer(cancel), Some(&cancelled));
+    assert_eq!(b.answer(look), Some(&expected_look));
+    assert_eq!(b.answer(cancel), Some(&expected_cancel));
 }
 
 #[test]
@@ -245,14 +245,14 @@
     b.commit();
     b.advance(Millis(50));
     assert_eq!(b.advice_requests(None).len(), 2, "calls are made only for steps that may start");
-    let ask = b.advice_requests(Some(0xbb))[0].clone();
-    b.answer_advice(&ask, &["w1"]);
+    let request = b.advice_requests(Some(0xbb))[0].clone();
+    b.answer_advice(&request, &["w1"]);
     b.advance(Millis(50));
     assert_eq!(b.starts().len(), 2);
 }
 
 #[test]
-fn the_figures_tell_what_waits_at_a_limit() {
+fn the_figures_show_what_waits_at_a_limit() {
     let mut b = Harness::new(TWO);
     b.join("w1", 16);
     b.submit_with_key("key-a", PATH, spec(vec![step(6)]));
--- a/components/dispatch/tests/overfull.rs
+++ b/components/dispatch/tests/overfull.rs
@@ -19,13 +19,13 @@
 
 /// The time within which 95 of 100 quick jobs start for the first time, as they did before any task came first.
 /// Callers wait for three seconds and come back.
-const FIRST_STARTS: Millis = Millis(4_400);
+const MAX_P95_WAIT: Millis = Millis(4_400);
 /// How long new long-running tasks come, more than there is capacity for.
-const PRESSED: Millis = Millis(25_000);
+const OVERLOAD_DURATION: Millis = Millis(25_000);
 
 /// Submits jobs of long-running tasks at a steady rate. Every eighth has a task that fails by itself now and then.
-fn press(f: &mut Fleet, mix: &mut JobMix) {
-    let until = f.harness.now + PRESSED;
+fn overload(f: &mut Fleet, mix: &mut JobMix) {
+    let until = f.harness.now + OVERLOAD_DURATION;
     let mut handed_in = 0;
     while f.harness.now < until {
         let size = Size::new(2_000, 1_000, 0);
@@ -49,14 +49,14 @@
     let mut mix = JobMix::new(0.45, 0.25, 0.03);
     mix.wide = 0.3;
     mix.drive(&mut f, Millis(3_000));
-    press(&mut f, &mut mix);
+    overload(&mut f, &mut mix);
     let waits = f.waits(Kind::Quick);
     let handed_in = f.jobs.values().filter(|j| j.kind == Kind::Quick).count();
     let at = handed_in * 95 / 100;
-    let p95 = waits.get(at).copied().unwrap_or(PRESSED);
+    let p95 = waits.get(at).copied().unwrap_or(OVERLOAD_DURATION);
     println!(
         "seed {seed}: p95 {p95:?}, long-running tasks without a run for {:?}",
         f.downtime_checker.longest
     );
-    assert!(p95 <= FIRST_STARTS, "seed {seed}: 95 of 100 quick jobs started within {p95:?}");
+    assert!(p95 <= MAX_P95_WAIT, "seed {seed}: 95 of 100 quick jobs started within {p95:?}");
 }
--- a/components/dispatch/tests/placing.rs
+++ b/components/dispatch/tests/placing.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn tasks_go_to_the_rack_of_their_data_while_it_has_room() {
+fn tasks_go_to_the_rack_of_their_data_while_it_has_capacity() {
     let mut b = Harness::new("");
     join_labelled(&mut b, "w1", 8, &["a", "r1"]);
     join_labelled(&mut b, "w2", 2, &["a", "r2"]);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_gang_goes_to_one_rack_where_that_makes_it_fast_and_one_has_room() {
+fn a_gang_goes_to_one_rack_where_that_makes_it_fast_and_one_has_capacity() {
     let mut b = Harness::new("");
     join_labelled(&mut b, "w1", 2, &["a", "r1"]);
     join_labelled(&mut b, "w2", 2, &["a", "r2"]);
--- a/components/dispatch/tests/restart_waves.rs
+++ b/components/dispatch/tests/restart_waves.rs
@@ -20,7 +20,7 @@
 const SERIES: usize = 3;
 
 /// How many instances call for advice at least; larger fleets have more.
-const FEWEST_CALLERS: usize = 12;
+const MIN_CALLERS: usize = 12;
 
 /// The number of workers from which on a fleet is simulated with one seed only.
 const LARGE_FLEET: usize = 100;
@@ -30,15 +30,15 @@
 struct Restarts {
     workers: usize,
     /// How many workers are restarted each time.
-    hit: usize,
+    restarted: usize,
     /// The time between two waves.
     pause: Millis,
     /// The time from the first worker of a wave to its last.
-    spread: Millis,
+    wave_duration: Millis,
 }
 
 fn fleet(seed: u64, workers: usize) -> Fleet {
-    let mut f = Fleet::new(seed, workers.max(FEWEST_CALLERS * 4) / 4);
+    let mut f = Fleet::new(seed, workers.max(MIN_CALLERS * 4) / 4);
     f.join("w", workers, Size::new(16_000, 32_000, 0));
     f.advance(Millis(500));
     f.crashes.down_for = Millis(400);
@@ -49,9 +49,9 @@
 fn wave(f: &mut Fleet, mix: &mut JobMix, restarts: Restarts) {
     let mut usable = f.workers(Host::is_usable);
     usable.shuffle(&mut f.rng);
-    let hit: Vec<WorkerId> = usable.into_iter().take(restarts.hit).collect();
-    let between = Millis(restarts.spread.0 / restarts.hit.max(1) as u64);
-    for id in &hit {
+    let restarted: Vec<WorkerId> = usable.into_iter().take(restarts.restarted).collect();
+    let between = Millis(restarts.wave_duration.0 / restarts.restarted.max(1) as u64);
+    for id in &restarted {
         f.crash(id);
         if between > Millis::ZERO {
             mix.drive(f, between);
@@ -77,14 +77,14 @@
 
 /// Guards against jobs that are given up because their workers were restarted together while their runs were young.
 #[rstest]
-#[case::a_third_of_48(Restarts { workers: 48, hit: 16, pause: Millis(1_300), spread: Millis(0) })]
-#[case::a_sixth_of_48(Restarts { workers: 48, hit: 8, pause: Millis(1_300), spread: Millis(0) })]
-#[case::seven_of_48(Restarts { workers: 48, hit: 7, pause: Millis(1_300), spread: Millis(0) })]
-#[case::a_third_of_10(Restarts { workers: 10, hit: 3, pause: Millis(1_300), spread: Millis(0) })]
-#[case::half_of_6(Restarts { workers: 6, hit: 3, pause: Millis(1_300), spread: Millis(0) })]
-#[case::a_third_of_150(Restarts { workers: 150, hit: 50, pause: Millis(1_300), spread: Millis(0) })]
-#[case::a_twelfth_of_150(Restarts { workers: 150, hit: 12, pause: Millis(1_300), spread: Millis(0) })]
-#[case::one_after_the_other(Restarts { workers: 48, hit: 16, pause: Millis(1_000), spread: Millis(800) })]
+#[case::a_third_of_48(Restarts { workers: 48, restarted: 16, pause: Millis(1_300), wave_duration: Millis(0) })]
+#[case::a_sixth_of_48(Restarts { workers: 48, restarted: 8, pause: Millis(1_300), wave_duration: Millis(0) })]
+#[case::seven_of_48(Restarts { workers: 48, restarted: 7, pause: Millis(1_300), wave_duration: Millis(0) })]
+#[case::a_third_of_10(Restarts { workers: 10, restarted: 3, pause: Millis(1_300), wave_duration: Millis(0) })]
+#[case::half_of_6(Restarts { workers: 6, restarted: 3, pause: Millis(1_300), wave_duration: Millis(0) })]
+#[case::a_third_of_150(Restarts { workers: 150, restarted: 50, pause: Millis(1_300), wave_duration: Millis(0) })]
+#[case::a_twelfth_of_150(Restarts { workers: 150, restarted: 12, pause: Millis(1_300), wave_duration: Millis(0) })]
+#[case::one_after_the_other(Restarts { workers: 48, restarted: 16, pause: Millis(1_000), wave_duration: Millis(800) })]
 fn no_job_that_is_well_is_given_up_among_restarts(#[case] restarts: Restarts) {
     let seeds = if restarts.workers < LARGE_FLEET { 2 } else { 1 };
     for seed in 1..=seeds {
@@ -137,7 +137,8 @@
 #[case::at_once(Fault::After(Millis(10)))]
 #[case::after_a_second(Fault::After(Millis(1_000)))]
 fn a_task_at_fault_is_found_among_restarts(#[case] fault: Fault) {
-    let restarts = Restarts { workers: 48, hit: 16, pause: Millis(1_300), spread: Millis(0) };
+    let restarts =
+        Restarts { workers: 48, restarted: 16, pause: Millis(1_300), wave_duration: Millis(0) };
     for seed in 1..=2 {
         let mut f = fleet(seed, restarts.workers);
         let mut mix = JobMix::new(0.08, 0.1, 0.05);
--- a/components/dispatch/tests/room.rs
+++ b/components/dispatch/tests/room.rs
@@ -12,18 +12,18 @@
     StepSpec { gang: true, ..wide(count, cores) }
 }
 
-fn keeping(step: StepSpec) -> StepSpec {
+fn with_checkpoints(step: StepSpec) -> StepSpec {
     StepSpec { checkpointing: true, ..step }
 }
 
 /// Returns a dispatcher with two workers of eight cores, each of which runs a confirmed bulk task that takes `cores`
-/// and is changed by `of`.
-fn with_bulk_work(of: impl Fn(StepSpec) -> StepSpec, cores: u64, estimate: Millis) -> Harness {
+/// and is changed by `change`.
+fn with_bulk_work(change: impl Fn(StepSpec) -> StepSpec, cores: u64, estimate: Millis) -> Harness {
     let mut b = Harness::new("");
     b.join("w1", 8);
     b.join("w2", 8);
     let long = |s: StepSpec| StepSpec { estimate, ..s };
-    b.submit_bulk(1, spec(vec![of(long(wide(2, cores)))]));
+    b.submit_bulk(1, spec(vec![change(long(wide(2, cores)))]));
     b.commit();
     for (worker, order) in b.starts() {
         b.started(&worker.0, order.task, 1, Ok(()));
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_gang_has_runs_stopped_that_keep_their_progress_and_have_time_to_spare() {
-    let mut b = with_bulk_work(keeping, 5, Millis(20_000));
+    let mut b = with_bulk_work(with_checkpoints, 5, Millis(20_000));
     b.submit(2, spec(vec![gang(2, 8)]));
     b.commit();
     assert_eq!(b.stops().len(), 2);
@@ -61,7 +61,7 @@
 
 #[test]
 fn no_run_is_stopped_that_would_be_late_for_it() {
-    let mut b = with_bulk_work(keeping, 5, Millis(2_000));
+    let mut b = with_bulk_work(with_checkpoints, 5, Millis(2_000));
     b.submit(2, spec(vec![gang(2, 8)]));
     b.commit();
     assert!(b.stops().is_empty());
@@ -71,7 +71,7 @@
 fn no_run_is_stopped_that_is_as_urgent_as_the_gang() {
     let mut b = Harness::new("");
     b.join("w1", 8);
-    b.submit(1, spec(vec![keeping(StepSpec { estimate: Millis(20_000), ..wide(1, 5) })]));
+    b.submit(1, spec(vec![with_checkpoints(StepSpec { estimate: Millis(20_000), ..wide(1, 5) })]));
     b.commit();
     b.started("w1", task(1, 0, 0), 1, Ok(()));
     b.submit(2, spec(vec![gang(1, 8)]));
@@ -81,7 +81,7 @@
 
 #[test]
 fn nothing_is_stopped_for_a_task_that_is_over_as_soon_as_a_stop() {
-    let mut b = with_bulk_work(keeping, 5, Millis(20_000));
+    let mut b = with_bulk_work(with_checkpoints, 5, Millis(20_000));
     b.submit(2, spec(vec![StepSpec { estimate: Millis(500), ..wide(1, 8) }]));
     b.commit();
     assert!(b.stops().is_empty());
@@ -89,7 +89,7 @@
 
 #[test]
 fn a_wall_clock_that_jumps_makes_no_job_late_or_early() {
-    let mut b = with_bulk_work(keeping, 5, Millis(2_000));
+    let mut b = with_bulk_work(with_checkpoints, 5, Millis(2_000));
     b.wall_clock_lag = Millis(60_000);
     b.submit(2, spec(vec![gang(2, 8)]));
     b.commit();
@@ -98,14 +98,14 @@
 
 #[test]
 fn nothing_is_stopped_where_the_gang_would_not_fit_all_the_same() {
-    let mut b = with_bulk_work(keeping, 5, Millis(20_000));
+    let mut b = with_bulk_work(with_checkpoints, 5, Millis(20_000));
     b.submit(2, spec(vec![gang(3, 8)]));
     b.commit();
     assert!(b.stops().is_empty());
 }
 
 #[test]
-fn room_that_a_gang_waits_for_is_kept_from_what_is_less_urgent() {
+fn capacity_that_a_gang_waits_for_is_reserved_from_less_urgent_work() {
     let mut b = with_bulk_work(|s| s, 5, Millis(20_000));
     b.submit(2, spec(vec![gang(2, 8)]));
     b.submit_bulk(3, spec(vec![wide(2, 3)]));
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn room_is_kept_only_on_as_many_workers_as_the_gang_needs() {
+fn capacity_is_reserved_only_on_as_many_workers_as_the_gang_needs() {
     let mut b = with_bulk_work(|s| s, 5, Millis(20_000));
     b.join("w3", 4);
     b.submit(2, spec(vec![gang(1, 8)]));
@@ -131,8 +131,8 @@
 }
 
 #[test]
-fn a_large_task_that_is_no_gang_has_room_made_too() {
-    let mut b = with_bulk_work(keeping, 5, Millis(20_000));
+fn capacity_is_freed_for_a_large_task_that_is_no_gang_too() {
+    let mut b = with_bulk_work(with_checkpoints, 5, Millis(20_000));
     b.submit(2, spec(vec![wide(1, 8)]));
     b.commit();
     assert_eq!(b.stops().len(), 1);
@@ -140,7 +140,7 @@
 
 #[test]
 fn small_tasks_take_their_turn_and_stop_nobody() {
-    let mut b = with_bulk_work(keeping, 8, Millis(20_000));
+    let mut b = with_bulk_work(with_checkpoints, 8, Millis(20_000));
     b.submit(2, spec(vec![wide(4, 1)]));
     b.commit();
     assert!(b.stops().is_empty());
@@ -148,7 +148,7 @@
 
 /// Has a bulk job wait for `waits` behind a full worker, then a more urgent one come; returns whose task starts first
 /// when capacity becomes free.
-fn first_after(waits: Millis) -> u64 {
+fn first_started_after(waits: Millis) -> u64 {
     let mut b = Harness::new("");
     b.join("w1", 8);
     b.submit(1, spec(vec![wide(1, 8)]));
@@ -172,15 +172,15 @@
 
 #[test]
 fn a_more_urgent_job_goes_first_while_the_other_has_time() {
-    assert_eq!(first_after(Millis(1_000)), 3);
+    assert_eq!(first_started_after(Millis(1_000)), 3);
 }
 
 #[test]
 fn a_job_that_must_start_soon_to_be_in_time_goes_before_a_more_urgent_one() {
-    assert_eq!(first_after(Millis(4_000)), 2);
+    assert_eq!(first_started_after(Millis(4_000)), 2);
 }
 
 #[test]
 fn a_job_that_is_late_whatever_is_done_goes_by_its_priority() {
-    assert_eq!(first_after(Millis(6_000)), 3);
+    assert_eq!(first_started_after(Millis(6_000)), 3);
 }
--- a/components/dispatch/tests/rules.rs
+++ b/components/dispatch/tests/rules.rs
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn what_is_being_stopped_still_takes_room() {
+fn what_is_being_stopped_still_takes_capacity() {
     let mut b = Harness::new("");
     b.join("w1", 1);
     b.submit(1, spec(vec![step(1)]));
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn news_of_a_second_life_on_a_machine_does_not_end_the_first() {
+fn an_announcement_of_a_second_incarnation_on_a_machine_does_not_end_the_first() {
     let mut b = Harness::new("");
     b.join("w1", 4);
     b.submit(1, spec(vec![step(1)]));
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn another_life_that_answers_ends_what_ran_there() {
+fn another_incarnation_that_answers_ends_what_ran_there() {
     let mut b = Harness::new("");
     b.join("w1", 4);
     b.join("w2", 4);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_start_without_an_answer_keeps_its_task_until_the_worker_tells() {
+fn a_start_without_an_answer_keeps_its_task_until_the_worker_reports() {
     let mut b = Harness::new("");
     b.join("w1", 4);
     b.join("w2", 4);
@@ -396,7 +396,7 @@
 }
 
 #[test]
-fn callers_are_told_what_their_call_came_to() {
+fn callers_get_the_outcome_of_their_call() {
     let mut b = Harness::new("");
     let id = "/q/00000000000000aa";
     let unknown = b.call_path(id, Verb::Query);
@@ -477,7 +477,7 @@
 
 /// Has a worker answer each start after `took`, and returns how long the dispatcher waits for the answer to the next
 /// one.
-fn awaited_after(took: Millis) -> Millis {
+fn answer_within_after(took: Millis) -> Millis {
     let mut b = Harness::new("");
     b.join("w1", 64);
     for id in 1..=40 {
@@ -493,12 +493,12 @@
 
 #[test]
 fn a_start_without_an_answer_is_sent_again_soon_where_answers_come_at_once() {
-    assert_eq!(awaited_after(Millis(5)), Millis(120));
+    assert_eq!(answer_within_after(Millis(5)), Millis(120));
 }
 
 #[test]
-fn a_leader_that_takes_in_answers_late_awaits_them_longer() {
-    assert!(awaited_after(Millis(300)) >= Millis(300));
+fn a_leader_that_processes_answers_late_awaits_them_longer() {
+    assert!(answer_within_after(Millis(300)) >= Millis(300));
 }
 
 #[test]
@@ -548,7 +548,7 @@
 }
 
 #[test]
-fn a_late_announcement_of_an_ended_life_takes_nothing_from_the_newer_one_at_its_address() {
+fn a_late_announcement_of_an_ended_incarnation_takes_nothing_from_the_newer_one_at_its_address() {
     let mut b = Harness::new("");
     let at_one_address = |name: &str, number: u64| {
         let mut announcement = announcement(name, 8);
--- a/components/dispatch/tests/schedules.rs
+++ b/components/dispatch/tests/schedules.rs
@@ -11,28 +11,28 @@
 const SEEDS: u64 = 300;
 const STEPS: usize = 250;
 
-fn drive(mut world: RandomSimulation) {
+fn drive(mut simulation: RandomSimulation) {
     for _ in 0..STEPS {
-        world.step();
+        simulation.step();
     }
     // In the end every job that can be done is done, once no limit forbids it.
-    world.lift_limits();
-    world.workers.values_mut().for_each(|w| w.silent = false);
-    let lasting = world.harness.dispatcher.replicated().jobs().iter();
-    let lasting: Vec<_> =
-        lasting.filter(|(_, j)| j.spec.is_long_running()).map(|(id, _)| *id).collect();
-    for id in lasting {
-        world.cancel(id);
+    simulation.lift_limits();
+    simulation.workers.values_mut().for_each(|w| w.silent = false);
+    let long_running = simulation.harness.dispatcher.replicated().jobs().iter();
+    let long_running: Vec<_> =
+        long_running.filter(|(_, j)| j.spec.is_long_running()).map(|(id, _)| *id).collect();
+    for id in long_running {
+        simulation.cancel(id);
     }
     for _ in 0..400 {
-        world.harness.commit();
-        world.perform();
-        world.finish_some();
-        world.advance(Millis(100));
-        world.perform();
+        simulation.harness.commit();
+        simulation.perform();
+        simulation.finish_some();
+        simulation.advance(Millis(100));
+        simulation.perform();
     }
-    world.harness.commit();
-    for (id, job) in world.harness.committed.jobs() {
+    simulation.harness.commit();
+    for (id, job) in simulation.harness.committed.jobs() {
         assert!(
             job.state.is_final(),
             "{id} is {:?} after all faults have ended: {job:#?}",
@@ -44,9 +44,9 @@
 #[rstest]
 #[case::without_organisations(RandomSimulation::new)]
 #[case::with_organisations(RandomSimulation::with_organisations)]
-fn promises_hold_on_random_schedules(#[case] world: fn(u64) -> RandomSimulation) {
+fn promises_hold_on_random_schedules(#[case] simulation: fn(u64) -> RandomSimulation) {
     for seed in 0..SEEDS {
-        let played = std::panic::catch_unwind(|| drive(world(seed)));
+        let played = std::panic::catch_unwind(|| drive(simulation(seed)));
         assert!(played.is_ok(), "seed {seed}");
     }
 }
--- a/components/dispatch/tests/silence.rs
+++ b/components/dispatch/tests/silence.rs
@@ -23,12 +23,12 @@
     b.starts().into_iter().filter(|(_, o)| o.task.step.job == job(id)).collect()
 }
 
-fn in_zone(starts: &[(WorkerId, StartOrder)], zone: &str) -> usize {
+fn count_in_zone(starts: &[(WorkerId, StartOrder)], zone: &str) -> usize {
     starts.iter().filter(|(w, _)| w.0.starts_with(zone)).count()
 }
 
 /// Leaves the starts on workers whose names begin with `silent` unanswered, and answers the others.
-fn answer_but(b: &mut Harness, starts: &[(WorkerId, StartOrder)], silent: &str) {
+fn answer_all_but(b: &mut Harness, starts: &[(WorkerId, StartOrder)], silent: &str) {
     for (w, o) in starts {
         let result = if w.0.starts_with(silent) { Err(NO_ANSWER()) } else { Ok(()) };
         b.started(&w.0, o.task, o.run, result);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_worker_that_left_an_order_unanswered_gets_nothing_new_until_it_is_heard() {
+fn a_worker_that_left_an_order_unanswered_gets_nothing_new_until_it_responds() {
     let mut b = Harness::new("");
     b.join("w1", 8);
     b.join("w2", 4);
@@ -60,14 +60,17 @@
         b.commit();
     }
     let before = b.starts();
-    assert!(in_zone(&before, "a") >= 3 && in_zone(&before, "b") >= 3, "both zones are in use");
-    answer_but(&mut b, &before, "a");
+    assert!(
+        count_in_zone(&before, "a") >= 3 && count_in_zone(&before, "b") >= 3,
+        "both zones are in use"
+    );
+    answer_all_but(&mut b, &before, "a");
     b.advance(Millis(1));
     for id in 11..=16 {
         b.submit(id, spec(vec![step(4)]));
         b.commit();
         assert_eq!(
-            in_zone(&starts_of(&b, id), "a"),
+            count_in_zone(&starts_of(&b, id), "a"),
             0,
             "job {id} is placed in the zone that is cut off"
         );
@@ -81,7 +84,7 @@
     b.submit(1, spec(vec![step(20)]));
     b.commit();
     let before = b.starts();
-    answer_but(&mut b, &before, "a1");
+    answer_all_but(&mut b, &before, "a1");
     for n in 0..3 {
         b.renewal_fails(&format!("a{n}"), NO_ANSWER());
     }
@@ -92,16 +95,16 @@
     b.advance(Millis(1));
     b.submit(2, spec(vec![step(60)]));
     b.commit();
-    assert!(in_zone(&starts_of(&b, 2), "a") > 0);
+    assert!(count_in_zone(&starts_of(&b, 2), "a") > 0);
 }
 
 #[test]
-fn silence_everywhere_speaks_of_this_instance_and_closes_no_zone() {
+fn silence_everywhere_points_to_this_instance_and_closes_no_zone() {
     let mut b = two_zones();
     b.submit(1, spec(vec![step(40)]));
     b.commit();
     let before = b.starts();
-    answer_but(&mut b, &before[..24], "");
+    answer_all_but(&mut b, &before[..24], "");
     b.advance(Millis(1));
     for n in 0..WORKERS {
         b.report(&format!("a{n}"), vec![], vec![]);
--- a/components/dispatch/tests/silent_suspects.rs
+++ b/components/dispatch/tests/silent_suspects.rs
@@ -9,14 +9,14 @@
 use workload::StepSpec;
 
 /// The time within which a task starts while there is capacity for it.
-const LONGEST_WAIT: Millis = Millis(3_000);
+const MAX_WAIT: Millis = Millis(3_000);
 
 /// Five workers are lost at the same time, each with a task of one healthy step. The first task to start again is cut
 /// off with its worker before it has shown that it is healthy. Nothing is learnt from it until its lease is over, so
 /// the others must not wait for that: [`common::wait_checker`] fails the test if they wait for three seconds while workers
 /// have free capacity.
 #[test]
-fn a_step_does_not_wait_beside_room_for_a_task_on_a_silent_worker() {
+fn a_step_does_not_wait_despite_free_capacity_for_a_task_on_a_silent_worker() {
     let mut f = Fleet::new(1, 6);
     f.allow_all();
     f.join("w", 20, Size::new(8_000, 16_000, 0));
@@ -34,14 +34,14 @@
     });
     let first = runs(&f);
     assert_eq!(first.len(), 1, "one task starts again first");
-    let on_silent = f.hosts[&first[0]].fake.running.keys().next().copied();
+    let first_task = f.hosts[&first[0]].fake.running.keys().next().copied();
     f.advance(Millis(1_000));
     first.iter().for_each(|id| f.set_silent(id, true));
     let cut_at = f.harness.now;
     f.advance(Millis(5_000));
-    for others in (0..5).map(|i| task(job.0, 0, i)).filter(|t| Some(*t) != on_silent) {
+    for others in (0..5).map(|i| task(job.0, 0, i)).filter(|t| Some(*t) != first_task) {
         let again = f.failures.starts_of(&others).get(1).copied();
-        let in_time = again.is_some_and(|at| at <= cut_at + LONGEST_WAIT);
+        let in_time = again.is_some_and(|at| at <= cut_at + MAX_WAIT);
         assert!(
             in_time,
             "{others} began again at {again:?}, its sibling was cut off at {cut_at:?}"
--- a/components/dispatch/tests/spread.rs
+++ b/components/dispatch/tests/spread.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_job_that_no_zone_has_room_for_takes_several() {
+fn a_job_that_no_zone_has_capacity_for_takes_several() {
     let mut b = three_zones();
     b.submit(1, spec(vec![step(40)]));
     b.commit();
--- a/components/dispatch/tests/starvation.rs
+++ b/components/dispatch/tests/starvation.rs
@@ -24,13 +24,13 @@
 use workload::{JobSpec, StepSpec, WorkerId};
 
 /// How long a call for advice takes, as the queues' policy says.
-const CALL: Millis = Millis(430);
+const CALL_DURATION: Millis = Millis(430);
 /// By how much one call is longer than the one before, where instances must not all become free at the same time, and
 /// after how many calls the first duration comes again.
-const CALL_STEP: u64 = 10;
-const CALL_STEPS: u64 = 17;
+const CALL_DURATION_INCREMENT: u64 = 10;
+const CALL_DURATION_CYCLE: u64 = 17;
 /// How often every worker reports, well within its lease.
-const REPORT: Millis = Millis(500);
+const REPORT_INTERVAL: Millis = Millis(500);
 
 /// A dispatcher whose calls for advice and starts are answered, and whose runs never end.
 struct Fleet {
@@ -40,10 +40,10 @@
     /// How many of the calls for advice and of the starts were processed.
     advice_requests_seen: usize,
     starts_seen: usize,
-    under_way: Vec<(Millis, AdviceRequest)>,
-    report_at: Millis,
+    pending_calls: Vec<(Millis, AdviceRequest)>,
+    next_report_at: Millis,
     /// After how many calls for advice the first duration comes again; one if all take equally long.
-    call_steps: u64,
+    call_duration_cycle: u64,
 }
 
 impl Fleet {
@@ -57,9 +57,9 @@
             running: BTreeMap::new(),
             advice_requests_seen: 0,
             starts_seen: 0,
-            under_way: Vec::new(),
-            report_at: Millis::ZERO,
-            call_steps: 1,
+            pending_calls: Vec::new(),
+            next_report_at: Millis::ZERO,
+            call_duration_cycle: 1,
         }
     }
 
@@ -81,8 +81,8 @@
             self.harness.advance(Millis(10));
             self.take_starts();
             self.answer_advice_requests();
-            if self.harness.now >= self.report_at {
-                self.report_at = self.harness.now + REPORT;
+            if self.harness.now >= self.next_report_at {
+                self.next_report_at = self.harness.now + REPORT_INTERVAL;
                 self.report();
             }
         }
@@ -102,17 +102,18 @@
             self.harness.advice_requests(None).split_off(self.advice_requests_seen);
         self.advice_requests_seen += advice_requests.len();
         let now = self.harness.now;
-        let longer = |a: &AdviceRequest| Millis(a.id % self.call_steps * CALL_STEP);
-        let until = |a: &AdviceRequest| now + CALL + longer(a);
-        self.under_way.extend(advice_requests.into_iter().map(|a| (until(&a), a)));
+        let longer =
+            |a: &AdviceRequest| Millis(a.id % self.call_duration_cycle * CALL_DURATION_INCREMENT);
+        let until = |a: &AdviceRequest| now + CALL_DURATION + longer(a);
+        self.pending_calls.extend(advice_requests.into_iter().map(|a| (until(&a), a)));
         let due = |(at, _): &(Millis, AdviceRequest)| *at <= now;
-        let (due, rest) = std::mem::take(&mut self.under_way).into_iter().partition(due);
-        self.under_way = rest;
+        let (due, rest) = std::mem::take(&mut self.pending_calls).into_iter().partition(due);
+        self.pending_calls = rest;
         let due: Vec<(Millis, AdviceRequest)> = due;
-        for (_, ask) in due {
-            let names = Harness::names(&ask.workers);
+        for (_, request) in due {
+            let names = Harness::names(&request.workers);
             let names: Vec<&str> = names.iter().map(|n| &**n).collect();
-            self.harness.answer_advice(&ask, &names);
+            self.harness.answer_advice(&request, &names);
         }
     }
 
@@ -130,38 +131,38 @@
 }
 
 /// Returns a step of one task with a generous estimate, for workers with a label.
-fn lengthy(label: &str, size: Size) -> StepSpec {
+fn long_step(label: &str, size: Size) -> StepSpec {
     StepSpec { constraint: Some(label.into()), size, estimate: Millis(20_000), ..step(1) }
 }
 
 #[test]
 fn a_backlog_that_waits_for_full_workers_leaves_calls_for_advice_to_a_job_whose_workers_are_free() {
-    let whole = Size::new(16_000, 32_000, 8);
+    let worker_size = Size::new(16_000, 32_000, 8);
     let mut f = Fleet::new("advice, long", 6);
-    f.join("full", 4, whole);
-    f.join("free", 8, whole);
+    f.join("full", 4, worker_size);
+    f.join("free", 8, worker_size);
     for id in 1..=40 {
-        f.harness.submit_mid(id, spec(vec![lengthy("full", whole)]));
+        f.harness.submit_mid(id, spec(vec![long_step("full", worker_size)]));
     }
     f.advance(Millis(8_000));
     let started = (1..=40).filter(|id| f.has_started(*id)).count();
     assert_eq!(started, 4, "the others wait for capacity");
-    f.harness.submit_bulk(99, spec(vec![lengthy("free", Size::new(4_000, 4_000, 0))]));
+    f.harness.submit_bulk(99, spec(vec![long_step("free", Size::new(4_000, 4_000, 0))]));
     f.advance(Millis(2_000));
     assert!(f.has_started(99), "a free call and its answer take less than a second");
 }
 
 /// A plan examines a bounded number of open steps. Those behind them must still get their turn.
 #[test]
-fn a_backlog_longer_than_a_plan_looks_at_does_not_hide_a_job_whose_workers_are_free() {
-    let whole = Size::new(16_000, 32_000, 8);
+fn a_backlog_longer_than_a_plan_examines_does_not_hide_a_job_whose_workers_are_free() {
+    let worker_size = Size::new(16_000, 32_000, 8);
     let mut f = Fleet::new("", 0);
-    f.join("full", 2, whole);
-    f.join("free", 2, whole);
+    f.join("full", 2, worker_size);
+    f.join("free", 2, worker_size);
     for id in 1..=300 {
-        f.harness.submit_mid(id, spec(vec![lengthy("full", whole)]));
+        f.harness.submit_mid(id, spec(vec![long_step("full", worker_size)]));
     }
-    f.harness.submit_bulk(999, spec(vec![lengthy("free", Size::new(4_000, 4_000, 0))]));
+    f.harness.submit_bulk(999, spec(vec![long_step("free", Size::new(4_000, 4_000, 0))]));
     f.advance(Millis(1_000));
     assert!(f.has_started(999));
 }
@@ -188,18 +189,18 @@
 /// A plan reserves capacity for a bounded number of large tasks. Those that wait for some workers must not use that
 /// up for tasks on others: small tasks would take all capacity there as it becomes free.
 #[test]
-fn large_tasks_that_wait_for_full_workers_leave_room_to_be_kept_for_one_elsewhere() {
-    let whole = Size::new(16_000, 32_000, 8);
-    let part = Size::new(4_000, 4_000, 0);
+fn large_tasks_that_wait_for_full_workers_leave_capacity_to_be_reserved_for_one_elsewhere() {
+    let worker_size = Size::new(16_000, 32_000, 8);
+    let quarter = Size::new(4_000, 4_000, 0);
     let mut f = Fleet::new("", 0);
-    f.join("full", 2, whole);
-    f.join("other", 1, whole);
-    f.harness.submit_bulk(1, spec(vec![lengthy("other", part)]));
+    f.join("full", 2, worker_size);
+    f.join("other", 1, worker_size);
+    f.harness.submit_bulk(1, spec(vec![long_step("other", quarter)]));
     for id in 2..=40 {
-        f.harness.submit_mid(id, spec(vec![lengthy("full", whole)]));
+        f.harness.submit_mid(id, spec(vec![long_step("full", worker_size)]));
     }
-    f.harness.submit_bulk(50, spec(vec![lengthy("other", whole)]));
-    f.harness.submit_bulk(51, spec(vec![lengthy("other", part)]));
+    f.harness.submit_bulk(50, spec(vec![long_step("other", worker_size)]));
+    f.harness.submit_bulk(51, spec(vec![long_step("other", quarter)]));
     f.advance(Millis(1_000));
     assert!(f.has_started(1) && !f.has_started(50));
     assert!(!f.has_started(51), "it would take the capacity that the earlier task waits for");
@@ -208,17 +209,17 @@
 /// A gang needs capacity for all of its tasks at the same time. Capacity for some of them is no reason to ask for
 /// advice before others.
 #[test]
-fn gangs_that_find_room_for_a_part_only_leave_calls_for_advice_to_others() {
-    let whole = Size::new(16_000, 32_000, 8);
+fn gangs_that_find_capacity_for_a_part_only_leave_calls_for_advice_to_others() {
+    let worker_size = Size::new(16_000, 32_000, 8);
     let mut f = Fleet::new("advice, long", 6);
-    f.join("few", 3, whole);
-    f.join("free", 2, whole);
-    let gang = StepSpec { count: 4, gang: true, ..lengthy("few", whole) };
+    f.join("few", 3, worker_size);
+    f.join("free", 2, worker_size);
+    let gang = StepSpec { count: 4, gang: true, ..long_step("few", worker_size) };
     for id in 1..=40 {
         f.harness.submit_mid(id, spec(vec![gang.clone()]));
     }
     f.advance(Millis(8_000));
-    f.harness.submit_bulk(99, spec(vec![lengthy("free", Size::new(4_000, 4_000, 0))]));
+    f.harness.submit_bulk(99, spec(vec![long_step("free", Size::new(4_000, 4_000, 0))]));
     f.advance(Millis(2_000));
     assert!(f.has_started(99));
 }
@@ -226,15 +227,15 @@
 /// Calls for steps that wait for capacity are made last, so capacity on workers for which the steps hold no ticket
 /// still has to be found.
 #[test]
-fn a_worker_that_joins_is_found_by_a_backlog_that_waits_for_room() {
-    let whole = Size::new(16_000, 32_000, 8);
+fn a_worker_that_joins_is_found_by_a_backlog_that_waits_for_capacity() {
+    let worker_size = Size::new(16_000, 32_000, 8);
     let mut f = Fleet::new("advice, long", 6);
-    f.join("full", 4, whole);
+    f.join("full", 4, worker_size);
     for id in 1..=40 {
-        f.harness.submit_mid(id, spec(vec![lengthy("full", whole)]));
+        f.harness.submit_mid(id, spec(vec![long_step("full", worker_size)]));
     }
     f.advance(Millis(8_000));
-    f.join("full", 1, whole);
+    f.join("full", 1, worker_size);
     f.advance(Millis(2_000));
     let started = (1..=40).filter(|id| f.has_started(*id)).count();
     assert_eq!(started, 5);
@@ -246,22 +247,20 @@
 #[case::few_callers(3)]
 #[case::more_callers(6)]
 #[case::many_callers(13)]
-fn a_burst_that_waits_for_full_workers_is_looked_through_before_it_gets_calls(
-    #[case] callers: usize,
-) {
-    let whole = Size::new(16_000, 32_000, 8);
+fn a_burst_that_waits_for_full_workers_is_examined_before_it_gets_calls(#[case] callers: usize) {
+    let worker_size = Size::new(16_000, 32_000, 8);
     let mut f = Fleet::new("advice, long", callers);
-    f.call_steps = CALL_STEPS;
-    f.join("full", 4, whole);
-    f.join("free", 8, whole);
+    f.call_duration_cycle = CALL_DURATION_CYCLE;
+    f.join("full", 4, worker_size);
+    f.join("free", 8, worker_size);
     for id in 1..=4 {
-        f.harness.submit_mid(id, spec(vec![lengthy("full", whole)]));
+        f.harness.submit_mid(id, spec(vec![long_step("full", worker_size)]));
     }
     f.advance(Millis(4_000));
     for id in 5..=190 {
-        f.harness.submit_mid(id, spec(vec![lengthy("full", whole)]));
+        f.harness.submit_mid(id, spec(vec![long_step("full", worker_size)]));
     }
-    f.harness.submit_bulk(999, spec(vec![lengthy("free", Size::new(4_000, 4_000, 0))]));
+    f.harness.submit_bulk(999, spec(vec![long_step("free", Size::new(4_000, 4_000, 0))]));
     f.advance(Millis(2_500));
     assert!(f.has_started(999));
 }
@@ -269,19 +268,19 @@
 /// Tasks that need whole workers have capacity reserved for them until what runs there has ended. Reserved on all
 /// workers at the same time, it would hold up everything else on a fleet that is nearly idle.
 #[test]
-fn room_kept_free_for_large_tasks_is_a_part_of_all_room() {
-    let whole = Size::new(16_000, 32_000, 8);
+fn capacity_reserved_for_large_tasks_is_a_part_of_all_capacity() {
+    let worker_size = Size::new(16_000, 32_000, 8);
     let small = Size::new(2_000, 2_000, 0);
     let mut f = Fleet::new("", 0);
-    f.join("some", 20, whole);
+    f.join("some", 20, worker_size);
     for id in 1..=20 {
-        f.harness.submit_bulk(id, spec(vec![lengthy("some", small)]));
+        f.harness.submit_bulk(id, spec(vec![long_step("some", small)]));
     }
     f.advance(Millis(500));
     for id in 21..=40 {
-        f.harness.submit_mid(id, spec(vec![lengthy("some", whole)]));
+        f.harness.submit_mid(id, spec(vec![long_step("some", worker_size)]));
     }
-    f.harness.submit_bulk(99, spec(vec![lengthy("some", small)]));
+    f.harness.submit_bulk(99, spec(vec![long_step("some", small)]));
     f.advance(Millis(1_000));
     assert!((1..=20).all(|id| f.has_started(id)));
     assert!(f.has_started(99), "an eighth of the capacity is in use");
@@ -291,16 +290,16 @@
 /// examined. A plan considers ten steps for calls, and only while an instance is free; with four calls of 430 ms in
 /// flight that is less often than 100 steps need to stay known as waiting.
 #[test]
-fn a_backlog_larger_than_a_plan_looks_at_leaves_calls_for_advice_to_a_job_whose_workers_are_free() {
-    let whole = Size::new(16_000, 32_000, 8);
+fn a_backlog_larger_than_a_plan_examines_leaves_calls_for_advice_to_a_job_whose_workers_are_free() {
+    let worker_size = Size::new(16_000, 32_000, 8);
     let mut f = Fleet::new("advice, long", 6);
-    f.join("full", 4, whole);
-    f.join("free", 8, whole);
+    f.join("full", 4, worker_size);
+    f.join("free", 8, worker_size);
     for id in 1..=100 {
-        f.harness.submit_mid(id, spec(vec![lengthy("full", whole)]));
+        f.harness.submit_mid(id, spec(vec![long_step("full", worker_size)]));
     }
     f.advance(Millis(8_000));
-    f.harness.submit_bulk(999, spec(vec![lengthy("free", Size::new(4_000, 4_000, 0))]));
+    f.harness.submit_bulk(999, spec(vec![long_step("free", Size::new(4_000, 4_000, 0))]));
     f.advance(Millis(3_000));
     assert!(f.has_started(999), "a free call and its answer take less than a second");
 }
--- a/components/dispatch/tests/stragglers.rs
+++ b/components/dispatch/tests/stragglers.rs
@@ -8,12 +8,12 @@
 use workload::{StepSpec, TaskKey};
 
 /// Returns a dispatcher with three workers that run one task of a step each and have capacity for one more.
-fn three_workers(spec_: StepSpec) -> Harness {
+fn three_workers(step_spec: StepSpec) -> Harness {
     let mut b = Harness::new("");
     for name in ["w1", "w2", "w3"] {
         b.join(name, 2);
     }
-    b.submit(1, spec(vec![spec_]));
+    b.submit(1, spec(vec![step_spec]));
     b.commit();
     for (on, order) in b.starts() {
         b.started(&on.0, order.task, order.run, Ok(()));
@@ -21,19 +21,19 @@
     b
 }
 
-fn at(task: TaskKey, percent: u32) -> RunStatus {
+fn progress(task: TaskKey, percent: u32) -> RunStatus {
     RunStatus { percent, ..row(task, 1) }
 }
 
 /// Reports every 300 ms: the run on `slow` progresses by `by` percent each time, the others by 15 percent.
-fn run_on(b: &mut Harness, slow: &str, by: u32, reports: u32) {
+fn report_progress(b: &mut Harness, slow: &str, by: u32, reports: u32) {
     let placed: Vec<(String, TaskKey)> =
         b.starts().iter().map(|(w, s)| (w.to_string(), s.task)).collect();
     for n in 1..=reports {
         b.advance(Millis(300));
         for (on, key) in &placed {
             let percent = if on == slow { by * n } else { 15 * n };
-            b.report(on, vec![at(*key, percent)], vec![]);
+            b.report(on, vec![progress(*key, percent)], vec![]);
         }
         b.commit();
     }
@@ -42,37 +42,39 @@
 #[test]
 fn a_run_far_slower_than_its_siblings_is_stopped() {
     let mut b = three_workers(step(3));
-    run_on(&mut b, "w2", 2, 3);
+    report_progress(&mut b, "w2", 2, 3);
     assert_eq!(b.stops().len(), 1);
     assert_eq!(b.stops()[0].0, worker("w2"));
 }
 
 #[test]
-fn a_run_that_stands_still_is_stopped() {
+fn a_run_that_makes_no_progress_is_stopped() {
     let mut b = three_workers(step(3));
-    run_on(&mut b, "w3", 0, 5);
+    report_progress(&mut b, "w3", 0, 5);
     assert_eq!(b.stops().iter().map(|(w, ..)| w.clone()).collect::<Vec<_>>(), vec![worker("w3")]);
 }
 
 #[test]
 fn a_run_a_little_slower_is_left_alone() {
     let mut b = three_workers(step(3));
-    run_on(&mut b, "w2", 10, 5);
+    report_progress(&mut b, "w2", 10, 5);
     assert!(b.stops().is_empty());
 }
 
 #[test]
 fn a_run_without_siblings_is_left_alone_whatever_its_estimate() {
     let mut b = three_workers(StepSpec { estimate: Millis(10), ..step(1) });
-    run_on(&mut b, "none", 0, 3);
+    report_progress(&mut b, "none", 0, 3);
     assert!(b.stops().is_empty());
 }
 
 #[test]
 fn members_of_gangs_and_long_running_tasks_are_left_alone() {
-    for spec_ in [StepSpec { gang: true, ..step(3) }, StepSpec { long_running: true, ..step(3) }] {
-        let mut b = three_workers(spec_);
-        run_on(&mut b, "w2", 0, 5);
+    for step_spec in
+        [StepSpec { gang: true, ..step(3) }, StepSpec { long_running: true, ..step(3) }]
+    {
+        let mut b = three_workers(step_spec);
+        report_progress(&mut b, "w2", 0, 5);
         assert!(b.stops().is_empty());
     }
 }
@@ -80,7 +82,7 @@
 #[test]
 fn a_slow_worker_gets_nothing_new_for_a_while() {
     let mut b = three_workers(step(3));
-    run_on(&mut b, "w2", 2, 3);
+    report_progress(&mut b, "w2", 2, 3);
     let before = b.starts().len();
     b.submit(2, spec(vec![step(3)]));
     b.commit();
@@ -90,9 +92,9 @@
 }
 
 #[test]
-fn a_moved_run_does_not_go_back_to_its_worker_while_others_have_room() {
+fn a_moved_run_does_not_go_back_to_its_worker_while_others_have_capacity() {
     let mut b = three_workers(step(3));
-    run_on(&mut b, "w2", 2, 3);
+    report_progress(&mut b, "w2", 2, 3);
     let (slow, key, run) = b.stops()[0].clone();
     b.stopped(&slow.0, key, run);
     // The worker is no longer deprioritised for being slow, and no lease has run out.
@@ -105,15 +107,15 @@
 }
 
 #[test]
-fn a_straggler_stays_where_it_is_while_nobody_else_has_room() {
+fn a_straggler_stays_where_it_is_while_no_other_worker_has_capacity() {
     let mut b = three_workers(StepSpec { size: model::Size::new(2_000, 1_000, 0), ..step(3) });
-    run_on(&mut b, "w2", 2, 4);
+    report_progress(&mut b, "w2", 2, 4);
     assert!(b.stops().is_empty());
 }
 
 #[test]
 fn a_run_that_has_just_begun_is_not_judged() {
     let mut b = three_workers(step(3));
-    run_on(&mut b, "w2", 0, 1);
+    report_progress(&mut b, "w2", 0, 1);
     assert!(b.stops().is_empty());
 }
--- a/components/dispatch/tests/strangers.rs
+++ b/components/dispatch/tests/strangers.rs
@@ -9,7 +9,7 @@
 use dispatch::{Call, Input, WorkerAnnouncement};
 use workload::Document;
 
-fn stranger(name: &str) -> WorkerAnnouncement {
+fn unconfigured(name: &str) -> WorkerAnnouncement {
     let mut announcement = announcement(name, 8);
     announcement.info.service = "other".into();
     announcement
@@ -20,7 +20,7 @@
     let mut b = Harness::new("");
     b.join("w", 8);
     for _ in 0..3 {
-        b.feed(Input::Announcement(stranger("x")));
+        b.feed(Input::Announcement(unconfigured("x")));
         b.commit();
         b.advance(Millis(1_500));
         b.report("w", vec![], vec![]);
@@ -35,7 +35,7 @@
 #[test]
 fn it_is_used_once_the_configuration_names_its_service() {
     let mut b = Harness::new("");
-    b.feed(Input::Announcement(stranger("x")));
+    b.feed(Input::Announcement(unconfigured("x")));
     b.commit();
     b.call(Call::Publish(Document { version: 2, text: "other".into() }));
     b.commit();
@@ -61,7 +61,7 @@
 fn a_known_worker_is_not_taken_away_by_such_an_announcement() {
     let mut b = Harness::new("");
     b.join("w", 8);
-    b.feed(Input::Announcement(WorkerAnnouncement { number: 2, ..stranger("w") }));
+    b.feed(Input::Announcement(WorkerAnnouncement { number: 2, ..unconfigured("w") }));
     b.commit();
     b.submit(1, spec(vec![step(1)]));
     b.commit();
@@ -70,7 +70,7 @@
 
 /// The sizes that callers submit must never overflow the arithmetic and so end the process.
 #[test]
-fn a_task_of_any_size_is_reckoned_with() {
+fn a_task_of_any_size_overflows_nothing() {
     let mut b = Harness::new("");
     b.join("w", 8);
     let size = model::Size::new(u64::MAX, u64::MAX, u64::MAX);
--- a/components/dispatch/tests/terms.rs
+++ b/components/dispatch/tests/terms.rs
@@ -36,13 +36,13 @@
 
 #[test]
 fn a_late_answer_to_an_earlier_term_bars_nobody() {
-    let asked_before = leader(1).advice_requests(None)[0].id;
+    let earlier_id = leader(1).advice_requests(None)[0].id;
     let mut b = leader(2);
     let nobody = Some(Vec::new());
-    b.feed(Input::Advised { id: asked_before, valid: Some(Millis(2_000)), allowed: nobody });
-    let ask = b.advice_requests(None)[0].clone();
-    let allowed = ask.workers.iter().map(|w| (w.clone(), "ticket".into())).collect();
-    b.feed(Input::Advised { id: ask.id, valid: Some(Millis(2_000)), allowed: Some(allowed) });
+    b.feed(Input::Advised { id: earlier_id, valid: Some(Millis(2_000)), allowed: nobody });
+    let request = b.advice_requests(None)[0].clone();
+    let allowed = request.workers.iter().map(|w| (w.clone(), "ticket".into())).collect();
+    b.feed(Input::Advised { id: request.id, valid: Some(Millis(2_000)), allowed: Some(allowed) });
     b.commit();
     assert_eq!(b.starts().len(), 2, "on {} and {}", worker("w1"), worker("w2"));
 }
