--- a/components/dispatch/tests/life_schedules.rs
+++ b/components/dispatch/tests/incarnation_schedules.rs
@@ -3,7 +3,7 @@
 //! that are over, and of leaders that are lost. The fleet checks capacity and waits at each step; these schedules
 //! also check that no task runs in two places.
 //!
-//! `HEATHVALE_LIFE_SEEDS=1-100 cargo test -p dispatch --test life_schedules` runs more of them.
+//! `HEATHVALE_LIFE_SEEDS=1-100 cargo test -p dispatch --test incarnation_schedules` runs more of them.
 
 mod common;
 
