--- a/components/dispatch/tests/lasting_schedules.rs
+++ b/components/dispatch/tests/lasting_schedules.rs
@@ -1,7 +1,7 @@
 //! Random schedules that combine whatever may keep a long-running task from its next run: workers that fail
 //! everything that they start, jobs that fail wherever they run, long-running tasks that fail by themselves, few
 //! allowed workers, steps that spread their tasks, a backlog, crashes, and leaders that are lost. Then no such event
-//! happens for half a minute, since lasting effects show only then. At each step [`common::downtime_checker`] checks that
+//! happens for half a minute, since late effects show only then. At each step [`common::downtime_checker`] checks that
 //! long-running tasks run again in time.
 //!
 //! `HEATHVALE_LASTING_SEEDS=1-200 cargo test -p dispatch --test lasting_schedules` runs more seeds than the eight of
--- a/components/dispatch/tests/loads.rs
+++ b/components/dispatch/tests/loads.rs
@@ -180,7 +180,7 @@
     StepSpec { size, constraint, estimate, ..step(4) }
 }
 
-/// Submits 150 steps for some workers at once, and after a while jobs for others that stay nearly idle.
+/// Submits 150 steps for some workers at the same time, and after a while jobs for others that stay nearly idle.
 fn submit_behind_many_steps(f: &mut Fleet, estimate: Millis, after: Millis, pause: Millis) {
     f.join("free", 12, worker_size());
     f.advance(Millis(2_000));
--- a/components/dispatch/tests/long_running.rs
+++ b/components/dispatch/tests/long_running.rs
@@ -96,12 +96,12 @@
         }
     }
 
-    /// Returns the same with 24 long-running tasks that run.
+    /// Returns a simulation with 24 long-running tasks, all of which run.
     fn with_running_tasks(seed: u64) -> Simulation {
-        let mut p = Simulation::new(seed);
-        p.submit_job("mid", &long_running(2), 12);
-        p.warm_up();
-        p
+        let mut sim = Simulation::new(seed);
+        sim.submit_job("mid", &long_running(2), 12);
+        sim.warm_up();
+        sim
     }
 
     /// Submits some jobs of long-running tasks.
@@ -237,10 +237,10 @@
     values[values.len() * percent / 100]
 }
 
-fn assert_tried((untried, downtime_after): (Millis, Millis), p: &Simulation, what: &str) {
+fn assert_tried((untried, downtime_after): (Millis, Millis), sim: &Simulation, what: &str) {
     println!(
         "{what}: not tried for {untried:?}, without a run {downtime_after:?} after the failures; {}",
-        p.summary()
+        sim.summary()
     );
     assert!(untried <= MAX_DOWNTIME, "{what}: not tried for {untried:?} while workers fail");
     assert!(
@@ -254,19 +254,19 @@
 
     #[rstest]
     fn all_workers_fail_for_a_while(#[values(1, 2, 3)] seed: u64) {
-        let mut p = Simulation::with_running_tasks(seed);
-        let all = p.all_workers();
-        let downtimes = p.run_with_failures(&all);
-        assert_tried(downtimes, &p, &format!("all workers fail, seed {seed}"));
+        let mut sim = Simulation::with_running_tasks(seed);
+        let all = sim.all_workers();
+        let downtimes = sim.run_with_failures(&all);
+        assert_tried(downtimes, &sim, &format!("all workers fail, seed {seed}"));
     }
 
     /// Most workers fail for a while; the others have capacity for all tasks.
     #[rstest]
     fn most_workers_fail_for_a_while(#[values(1, 2, 3)] seed: u64) {
-        let mut p = Simulation::with_running_tasks(seed);
-        let most: Vec<WorkerId> = p.all_workers().into_iter().skip(6).collect();
-        let downtimes = p.run_with_failures(&most);
-        assert_tried(downtimes, &p, &format!("most workers fail, seed {seed}"));
+        let mut sim = Simulation::with_running_tasks(seed);
+        let most: Vec<WorkerId> = sim.all_workers().into_iter().skip(6).collect();
+        let downtimes = sim.run_with_failures(&most);
+        assert_tried(downtimes, &sim, &format!("most workers fail, seed {seed}"));
     }
 
     /// Some of the quick jobs fail wherever they run, on workers that are all healthy. What fails everywhere is no
@@ -282,26 +282,26 @@
         #[case] bound: usize,
         #[values(1, 2, 3)] seed: u64,
     ) {
-        let mut p = Simulation::with_running_tasks(seed);
-        p.mix.failing_percent = percent;
-        let from = p.f.harness.now;
+        let mut sim = Simulation::with_running_tasks(seed);
+        sim.mix.failing_percent = percent;
+        let from = sim.f.harness.now;
         let mut min_given_work = WORKERS;
         for at in 0..15 {
-            p.fail(at * 7);
-            p.drive(Millis(1_000));
-            let now = p.f.harness.now;
+            sim.fail(at * 7);
+            sim.drive(Millis(1_000));
+            let now = sim.f.harness.now;
             if now.since(from) >= Millis(3_000) {
-                let given_work = p.f.failures.workers_with_starts(now.since(Millis(3_000)), now);
+                let given_work = sim.f.failures.workers_with_starts(now.since(Millis(3_000)), now);
                 min_given_work = min_given_work.min(given_work);
             }
         }
         let (downtime, quick, failed) =
-            (p.max_downtime, p.longest_quick_wait(from), p.failed(Kind::Quick));
+            (sim.max_downtime, sim.longest_quick_wait(from), sim.failed(Kind::Quick));
         let what = format!("{percent}% can never succeed, seed {seed}");
         println!(
             "{what}: without a run for {downtime:?}, quick jobs wait {quick:?}, {failed} that could succeed failed, \
          {min_given_work} workers given work; {}",
-            p.summary()
+            sim.summary()
         );
         assert!(
             downtime <= MAX_DOWNTIME,
@@ -315,100 +315,104 @@
     /// Runs that run at the same time and fail together count as one failure, however many they are.
     #[rstest]
     fn runs_that_fail_together_count_once(#[values(1, 2, 3)] seed: u64) {
-        let mut p = Simulation::new(seed);
-        p.f.allow_all();
-        p.mix = JobMix::new(0.2, 0.0, 0.0);
+        let mut sim = Simulation::new(seed);
+        sim.f.allow_all();
+        sim.mix = JobMix::new(0.2, 0.0, 0.0);
         // Work for the whole capacity, which needs no long calls for advice.
         let spec = StepSpec { estimate: Millis(4_000), ..step(40) };
         for _ in 0..200 {
-            p.f.submit_job(Kind::Wide, "q", vec![spec.clone()]);
+            sim.f.submit_job(Kind::Wide, "q", vec![spec.clone()]);
         }
-        p.drive(WARM_UP);
-        let one = p.all_workers().remove(0);
-        let running: Vec<TaskKey> = p.f.hosts[&one].fake.running.keys().copied().collect();
+        sim.drive(WARM_UP);
+        let one = sim.all_workers().remove(0);
+        let running: Vec<TaskKey> = sim.f.hosts[&one].fake.running.keys().copied().collect();
         assert!(running.len() >= 10, "{} tasks run on the worker", running.len());
-        let from = p.f.harness.now;
+        let from = sim.f.harness.now;
         running.iter().take(10).for_each(|t| {
-            p.f.fail_now(t);
+            sim.f.fail_now(t);
         });
-        p.drive(OBSERVATION_TIME);
-        let starts = p.f.failures.starts.iter().filter(|s| s.worker == one && s.at > from);
+        sim.drive(OBSERVATION_TIME);
+        let starts = sim.f.failures.starts.iter().filter(|s| s.worker == one && s.at > from);
         let first = starts.map(|s| s.at.since(from)).min();
-        println!("runs fail together, seed {seed}: tried after {first:?}; {}", p.summary());
+        println!("runs fail together, seed {seed}: tried after {first:?}; {}", sim.summary());
         assert!(first.is_some_and(|at| at <= Millis(5_000)), "tried after {first:?}");
     }
 
     /// The few workers with a label fail for a while. No other worker may take the task.
     #[rstest]
     fn the_workers_with_a_label_fail(#[values(1, 2, 3)] seed: u64) {
-        let mut p = Simulation::new(seed);
-        p.f.join("few", 4, worker_size());
-        p.f.allow_all();
-        p.f.advance(Millis(500));
-        p.submit_job("mid", &StepSpec { constraint: Some("few".into()), ..long_running(4) }, 2);
-        p.warm_up();
-        let few = p.f.workers(|h| h.info.labels.contains(&"few".into()));
-        let downtimes = p.run_with_failures(&few);
-        assert_tried(downtimes, &p, &format!("workers with a label fail, seed {seed}"));
+        let mut sim = Simulation::new(seed);
+        sim.f.join("few", 4, worker_size());
+        sim.f.allow_all();
+        sim.f.advance(Millis(500));
+        sim.submit_job("mid", &StepSpec { constraint: Some("few".into()), ..long_running(4) }, 2);
+        sim.warm_up();
+        let few = sim.f.workers(|h| h.info.labels.contains(&"few".into()));
+        let downtimes = sim.run_with_failures(&few);
+        assert_tried(downtimes, &sim, &format!("workers with a label fail, seed {seed}"));
     }
 
     /// The few workers that advice allows for a step fail for a while.
     #[rstest]
     fn the_workers_that_are_allowed_fail(#[values(1, 2, 3)] seed: u64) {
-        let mut p = Simulation::new(seed);
-        p.f.allow(10);
-        p.submit_job_where(&long_running(4), 3..=6);
-        p.warm_up();
-        let few = p.f.allowed(&p.tasks[0].step);
-        let downtimes = p.run_with_failures(&few);
-        assert_tried(downtimes, &p, &format!("{} allowed workers fail, seed {seed}", few.len()));
+        let mut sim = Simulation::new(seed);
+        sim.f.allow(10);
+        sim.submit_job_where(&long_running(4), 3..=6);
+        sim.warm_up();
+        let few = sim.f.allowed(&sim.tasks[0].step);
+        let downtimes = sim.run_with_failures(&few);
+        assert_tried(downtimes, &sim, &format!("{} allowed workers fail, seed {seed}", few.len()));
     }
 
     /// Each worker may run one task of a step, few workers are allowed, and two thirds of all workers fail for a
     /// while.
     #[rstest]
     fn few_workers_for_a_step_that_spreads(#[values(1, 2, 3)] seed: u64) {
-        let mut p = Simulation::new(seed);
-        p.f.allow(14);
+        let mut sim = Simulation::new(seed);
+        sim.f.allow(14);
         for _ in 0..6 {
-            p.submit_job_where(&StepSpec { max_per_worker: 1, ..long_running(3) }, 4..=8);
+            sim.submit_job_where(&StepSpec { max_per_worker: 1, ..long_running(3) }, 4..=8);
         }
-        p.warm_up();
-        let all = p.all_workers();
+        sim.warm_up();
+        let all = sim.all_workers();
         let faulty: Vec<WorkerId> =
             all.into_iter().enumerate().filter(|(i, _)| i % 3 > 0).map(|(_, id)| id).collect();
-        let downtimes = p.run_with_failures(&faulty);
-        assert_tried(downtimes, &p, &format!("a step that spreads its tasks, seed {seed}"));
+        let downtimes = sim.run_with_failures(&faulty);
+        assert_tried(downtimes, &sim, &format!("a step that spreads its tasks, seed {seed}"));
     }
 
     /// More work waits than can run. Some of it is more urgent than the long-running tasks, some is less urgent, and
     /// its tasks are smaller. All instances that may make long calls for advice make them.
     #[rstest]
     fn a_backlog_takes_all_capacity_that_becomes_free(#[values(1, 2, 3)] seed: u64) {
-        let mut p = Simulation::new(seed);
-        p.mix = JobMix::new(0.2, 0.1, 0.0);
-        p.submit_job("bulk", &StepSpec { size: Size::new(2_000, 2_000, 0), ..long_running(1) }, 16);
-        p.warm_up();
-        p.mix.wide = 0.65;
-        p.drive(Millis(6_000));
-        p.reset_records();
+        let mut sim = Simulation::new(seed);
+        sim.mix = JobMix::new(0.2, 0.1, 0.0);
+        sim.submit_job(
+            "bulk",
+            &StepSpec { size: Size::new(2_000, 2_000, 0), ..long_running(1) },
+            16,
+        );
+        sim.warm_up();
+        sim.mix.wide = 0.65;
+        sim.drive(Millis(6_000));
+        sim.reset_records();
         for at in 0..12 {
-            p.fail(at);
-            p.drive(Millis(1_500));
+            sim.fail(at);
+            sim.drive(Millis(1_500));
         }
-        p.drive(MAX_DOWNTIME_AT_FULL_LOAD);
-        let (used, busy) = (percentile(p.used.clone(), 50), percentile(p.busy.clone(), 50));
+        sim.drive(MAX_DOWNTIME_AT_FULL_LOAD);
+        let (used, busy) = (percentile(sim.used.clone(), 50), percentile(sim.busy.clone(), 50));
         println!(
             "a backlog, seed {seed}: without a run for {:?}, {} at the end, {used}% in use, {busy} busy; {}",
-            p.max_downtime,
-            p.down_count(),
-            p.summary()
+            sim.max_downtime,
+            sim.down_count(),
+            sim.summary()
         );
         assert!(used >= 85, "{used}% of the capacity is in use");
         assert!(
-            p.max_downtime <= MAX_DOWNTIME_AT_FULL_LOAD,
+            sim.max_downtime <= MAX_DOWNTIME_AT_FULL_LOAD,
             "without a run for {:?}",
-            p.max_downtime
+            sim.max_downtime
         );
     }
 }
@@ -432,20 +436,20 @@
     let mut waste = Waste::default();
     let mut downtime = Millis::ZERO;
     for seed in 1..=6 {
-        let mut p = Simulation::with_running_tasks(seed);
-        let faulty: Vec<WorkerId> = p.all_workers().into_iter().step_by(one_in).collect();
-        faulty.iter().for_each(|id| p.f.set_failing(id, true));
+        let mut sim = Simulation::with_running_tasks(seed);
+        let faulty: Vec<WorkerId> = sim.all_workers().into_iter().step_by(one_in).collect();
+        faulty.iter().for_each(|id| sim.f.set_failing(id, true));
         for at in 0..12 {
-            p.fail(at * 7);
-            p.drive(Millis(1_000));
+            sim.fail(at * 7);
+            sim.drive(Millis(1_000));
         }
-        faulty.iter().for_each(|id| p.f.set_failing(id, false));
-        p.drive(Millis(6_000));
-        waste.quick_runs += p.f.failures.wasted(Kind::Quick);
-        waste.batch_runs += p.f.failures.wasted(Kind::Batch) + p.f.failures.wasted(Kind::Gang);
+        faulty.iter().for_each(|id| sim.f.set_failing(id, false));
+        sim.drive(Millis(6_000));
+        waste.quick_runs += sim.f.failures.wasted(Kind::Quick);
+        waste.batch_runs += sim.f.failures.wasted(Kind::Batch) + sim.f.failures.wasted(Kind::Gang);
         let kinds = [Kind::Quick, Kind::Batch, Kind::Gang];
-        waste.failed_jobs += kinds.into_iter().map(|kind| p.failed(kind)).sum::<usize>();
-        downtime = downtime.max(p.max_downtime);
+        waste.failed_jobs += kinds.into_iter().map(|kind| sim.failed(kind)).sum::<usize>();
+        downtime = downtime.max(sim.max_downtime);
     }
     println!(
         "one in {one_in} fails: {waste:?}, a long-running task is without a run for {downtime:?}"
--- a/components/dispatch/tests/organisations.rs
+++ b/components/dispatch/tests/organisations.rs
@@ -62,15 +62,15 @@
 #[case::nobody("key-c", Answer::NoKey, Answer::NoKey)]
 fn a_job_is_seen_and_cancelled_by_its_organisation_only(
     #[case] key: &str,
-    #[case] expected_look: Answer,
+    #[case] expected_query: Answer,
     #[case] expected_cancel: Answer,
 ) {
     let mut b = Harness::new(TWO);
     submit_to(&mut b, with_key("key-a"), PATH);
-    let look = b.call_with(with_key(key), PATH, Verb::Query);
+    let query = b.call_with(with_key(key), PATH, Verb::Query);
     let cancel = b.call_with(with_key(key), PATH, Verb::Cancel);
     b.commit();
-    assert_eq!(b.answer(look), Some(&expected_look));
+    assert_eq!(b.answer(query), Some(&expected_query));
     assert_eq!(b.answer(cancel), Some(&expected_cancel));
 }
 
@@ -91,13 +91,13 @@
     submit_to(&mut b, with_key("key-a"), PATH);
     b.publish(2, "org=a:4000:1: org=b:0:1:key-b,key-a");
     // An answer that depends on the new configuration waits until the configuration is committed.
-    let look = b.call_with(with_key("other-a"), PATH, Verb::Query);
-    assert_eq!(b.answer(look), None);
+    let query = b.call_with(with_key("other-a"), PATH, Verb::Query);
+    assert_eq!(b.answer(query), None);
     b.commit();
-    assert_eq!(b.answer(look), Some(&Answer::NoKey));
+    assert_eq!(b.answer(query), Some(&Answer::NoKey));
     // The key now belongs to another organisation, and the job does not.
-    let look = b.call_with(with_key("key-a"), PATH, Verb::Query);
-    assert_eq!(b.answer(look), Some(&Answer::NoJob));
+    let query = b.call_with(with_key("key-a"), PATH, Verb::Query);
+    assert_eq!(b.answer(query), Some(&Answer::NoJob));
     assert_eq!(b.starts().len(), 1);
 }
 
@@ -106,9 +106,9 @@
     let mut b = Harness::new(TWO);
     submit_to(&mut b, with_key("key-a"), PATH);
     let mut b = Harness::take_over(b.committed, 2, b.now + Millis(100));
-    let look = |b: &mut Harness, key| b.call_with(with_key(key), PATH, Verb::Query);
+    let query = |b: &mut Harness, key| b.call_with(with_key(key), PATH, Verb::Query);
     let (own, other, unknown) =
-        (look(&mut b, "other-a"), look(&mut b, "key-b"), look(&mut b, "key-c"));
+        (query(&mut b, "other-a"), query(&mut b, "key-b"), query(&mut b, "key-c"));
     assert_eq!(b.answer(own), Some(&Answer::State(JobState::Queued)));
     assert_eq!(b.answer(other), Some(&Answer::NoJob));
     assert_eq!(b.answer(unknown), Some(&Answer::NoKey));
--- a/components/dispatch/tests/rules.rs
+++ b/components/dispatch/tests/rules.rs
@@ -331,7 +331,7 @@
         .actions
         .iter()
         .filter_map(|a| match a {
-            dispatch::Action::RequestAdvice(ask) => Some(ask.clone()),
+            dispatch::Action::RequestAdvice(request) => Some(request.clone()),
             _ => None,
         })
         .collect();
--- a/components/dispatch/tests/schedules.rs
+++ b/components/dispatch/tests/schedules.rs
@@ -46,7 +46,7 @@
 #[case::with_organisations(RandomSimulation::with_organisations)]
 fn promises_hold_on_random_schedules(#[case] simulation: fn(u64) -> RandomSimulation) {
     for seed in 0..SEEDS {
-        let played = std::panic::catch_unwind(|| drive(simulation(seed)));
-        assert!(played.is_ok(), "seed {seed}");
+        let result = std::panic::catch_unwind(|| drive(simulation(seed)));
+        assert!(result.is_ok(), "seed {seed}");
     }
 }
--- a/components/dispatch/tests/wait_logging.rs
+++ b/components/dispatch/tests/wait_logging.rs
@@ -26,7 +26,7 @@
 }
 
 /// Takes the log lines about waiting tasks out of the actions: the subject of each, and its details.
-fn take_wait_lines(b: &mut Harness) -> Vec<(String, String)> {
+fn take_wait_log_lines(b: &mut Harness) -> Vec<(String, String)> {
     let line = |a: Action| match a {
         Action::LogEvent { kind, subject, details } if kind.name == "task_waits" => {
             Some((subject, details))
@@ -37,14 +37,14 @@
 }
 
 /// Lets time pass with a tick every 50 ms; returns the log lines that were written.
-fn wait_lines_during(b: &mut Harness, span: Millis) -> Vec<(Millis, String, String)> {
+fn wait_log_lines_during(b: &mut Harness, span: Millis) -> Vec<(Millis, String, String)> {
     let until = b.now + span;
     let mut lines = Vec::new();
     while b.now < until {
         b.advance(Millis(50));
         let now = b.now;
         lines.extend(
-            take_wait_lines(b).into_iter().map(|(subject, details)| (now, subject, details)),
+            take_wait_log_lines(b).into_iter().map(|(subject, details)| (now, subject, details)),
         );
     }
     lines
@@ -84,7 +84,7 @@
     b.submit(1, spec(vec![long_running(3)]));
     b.commit();
     let began = b.now;
-    let lines = wait_lines_during(&mut b, Millis(13_000));
+    let lines = wait_log_lines_during(&mut b, Millis(13_000));
     let at: Vec<Millis> = lines.iter().map(|(at, ..)| at.since(began)).collect();
     assert_eq!(at, [Millis(2_000), Millis(7_000), Millis(12_000)]);
     let (_, subject, details) = &lines[0];
@@ -104,7 +104,7 @@
     b.report("w1", vec![], vec![end(1, task(1, 0, 0), 1, EndKind::Failed)]);
     b.commit();
     b.advance(Millis(1_000));
-    let lines = take_wait_lines(&mut b);
+    let lines = take_wait_log_lines(&mut b);
     let expected = "since_ms=2000 tasks=2 held_back=0 looked=yes workers=1 fit=0 leaving=1";
     assert_eq!(lines, [(task(1, 0, 1).to_string(), expected.to_string())]);
 }
@@ -116,11 +116,11 @@
     b.submit(2, spec(vec![large(16)]));
     b.submit(3, spec(vec![long_running(1)]));
     b.commit();
-    assert_eq!(wait_lines_during(&mut b, Millis(1_900)), []);
+    assert_eq!(wait_log_lines_during(&mut b, Millis(1_900)), []);
     b.call_path(&format!("/q/{}", job(2)), Verb::Cancel);
     b.join("w1", 8);
     b.commit();
-    assert_eq!(wait_lines_during(&mut b, Millis(5_000)), []);
+    assert_eq!(wait_log_lines_during(&mut b, Millis(5_000)), []);
 }
 
 #[test]
@@ -130,7 +130,7 @@
         b.submit(id, spec(vec![long_running(2)]));
     }
     b.commit();
-    let lines = wait_lines_during(&mut b, Millis(12_000));
+    let lines = wait_log_lines_during(&mut b, Millis(12_000));
     for (from, ..) in &lines {
         let within = lines.iter().filter(|(at, ..)| at >= from && at.since(*from) < Millis(1_000));
         assert!(within.count() <= 5, "from {from:?}");
@@ -149,15 +149,15 @@
     let mut b = Harness::new("");
     b.submit(1, spec(vec![long_running(1)]));
     b.commit();
-    assert_eq!(wait_lines_during(&mut b, Millis(2_000)).len(), 1);
+    assert_eq!(wait_log_lines_during(&mut b, Millis(2_000)).len(), 1);
     b.join("w1", 1);
     b.commit();
     b.started("w1", task(1, 0, 0), 1, Ok(()));
     announce_leaving(&mut b, "w1", 1);
     b.report("w1", vec![], vec![end(1, task(1, 0, 0), 1, EndKind::Failed)]);
     b.commit();
-    assert_eq!(wait_lines_during(&mut b, Millis(4_900)), []);
-    assert_eq!(wait_lines_during(&mut b, Millis(200)).len(), 1);
+    assert_eq!(wait_log_lines_during(&mut b, Millis(4_900)), []);
+    assert_eq!(wait_log_lines_during(&mut b, Millis(200)).len(), 1);
 }
 
 /// A worker is counted under the first reason that excludes it: the workers that lack the label or are too small
@@ -194,7 +194,7 @@
     b.call_path(&format!("/q/{}", job(5)), Verb::Cancel);
     b.commit();
     b.advance(Millis(10));
-    let (_, details) = take_wait_lines(&mut b).remove(0);
+    let (_, details) = take_wait_log_lines(&mut b).remove(0);
     let expected = "workers=6 fit=0 unlabelled=1 too_small=1 leaving=1 silent=1 resting=1 full=1";
     assert!(details.ends_with(expected), "{details}");
 }
@@ -218,7 +218,7 @@
         }
         b.commit();
     }
-    let lines = take_wait_lines(&mut b);
+    let lines = take_wait_log_lines(&mut b);
     let details = &lines.first().expect("a line is written").1;
     assert!(details.ends_with("workers=3 fit=0 full=3"), "{details}");
     assert_eq!(b.dispatcher.figures().quarantined_workers, 0, "a slow worker does not fail");
@@ -236,7 +236,7 @@
     b.submit_bulk(3, spec(vec![long_running(1)]));
     b.commit();
     b.advance(Millis(2_000));
-    let mut lines = take_wait_lines(&mut b);
+    let mut lines = take_wait_log_lines(&mut b);
     lines.sort();
     let expected = [(2, "full"), (3, "kept")].map(|(id, reason)| {
         let details =
@@ -256,7 +256,7 @@
     b.submit(3, spec(vec![StepSpec { target_latency: Millis(100), ..long_running(1) }]));
     b.commit();
     b.advance(Millis(2_000));
-    let lines = take_wait_lines(&mut b);
+    let lines = take_wait_log_lines(&mut b);
     let reasons = |id: u64, index: u32| {
         let subject = task(id, 0, index).to_string();
         let (_, details) = lines.iter().find(|(of, _)| *of == subject).expect("a line is written");
@@ -275,13 +275,13 @@
     ["w1", "w2", "w3"].into_iter().for_each(|name| b.join(name, 1));
     b.submit(1, spec(vec![StepSpec { gang: true, ..long_running(3) }]));
     b.commit();
-    let ask = b.advice_requests(None).first().cloned().expect("a call for advice");
-    assert_eq!(ask.workers.len(), 3);
-    b.answer_advice(&ask, &["w1"]);
+    let request = b.advice_requests(None).first().cloned().expect("a call for advice");
+    assert_eq!(request.workers.len(), 3);
+    b.answer_advice(&request, &["w1"]);
     b.advance(Millis(1_900));
     b.join("w4", 1);
     b.advance(Millis(99));
-    let (_, details) = take_wait_lines(&mut b).remove(0);
+    let (_, details) = take_wait_log_lines(&mut b).remove(0);
     assert!(details.ends_with("workers=4 fit=0 not_allowed=2 unknown=1 no_ticket=1"), "{details}");
 }
 
@@ -301,7 +301,7 @@
     }
     b.commit();
     b.advance(Millis(2_000));
-    let (subject, details) = take_wait_lines(&mut b).pop().expect("a line is written");
+    let (subject, details) = take_wait_log_lines(&mut b).pop().expect("a line is written");
     assert_eq!(subject, task(1, 0, 0).to_string());
     assert!(details.ends_with("workers=3 fit=1 leaving=1 avoided=1"), "{details}");
 }
@@ -338,7 +338,7 @@
     let mut b =
         Harness::take_over(replicated_with_crashes(&[(1, "q", 0, 5, 1)]), 2, Millis(1_000_000));
     b.advance(Millis(2_000));
-    let (_, details) = take_wait_lines(&mut b).remove(0);
+    let (_, details) = take_wait_log_lines(&mut b).remove(0);
     assert_eq!(details, "since_ms=2000 tasks=5 held_back=4 looked=yes workers=0 fit=0");
 }
 
@@ -352,7 +352,7 @@
     b.commit();
     assert_eq!(b.starts().len(), 1);
     b.advance(Millis(499));
-    let (_, details) = take_wait_lines(&mut b).remove(0);
+    let (_, details) = take_wait_log_lines(&mut b).remove(0);
     assert!(details.ends_with("looked=yes workers=1 fit=0 suspects=1"), "{details}");
 }
 
@@ -369,7 +369,7 @@
     }
     b.submit_mid(601, spec(vec![step(1)]));
     b.commit();
-    let lines = wait_lines_during(&mut b, Millis(1_100));
+    let lines = wait_log_lines_during(&mut b, Millis(1_100));
     let (_, subject, details) = lines.first().expect("a line is written");
     assert_eq!(subject, &task(1_000, 0, 0).to_string());
     assert!(details.contains("tasks=1 held_back=0 looked=yes workers=0"), "{details}");
