--- a/components/dispatch/src/candidates.rs
+++ b/components/dispatch/src/candidates.rs
@@ -12,18 +12,18 @@
 
 /// The cost of a worker on which a run of the task has failed: more than that of a completely
 /// filled one.
-const AVOID_PENALTY: f64 = 10.0;
+const AVOIDED_WORKER_PENALTY: f64 = 10.0;
 /// The cost of a worker per job whose runs have recently failed there.
-const FAIL_PENALTY: f64 = 3.0;
+const FAILED_JOB_PENALTY: f64 = 3.0;
 /// The cost of a worker per young suspect that runs there, that is, a task under which another
 /// worker has crashed. It equals the difference between an empty worker and a full one, so that
 /// suspects spread over all workers.
 const SUSPECT_PENALTY: f64 = 2.0;
-/// The cost of a worker for a task on its last try if anything young runs there, which would be
+/// The cost of a worker for a task on its last attempt if anything young runs there, which would be
 /// suspected with it. It exceeds every other preference.
-const COMPANY_PENALTY: f64 = 20.0;
+const YOUNG_NEIGHBOUR_PENALTY: f64 = 20.0;
 /// The cost of a worker that is far from the task's data.
-const FAR_PENALTY: f64 = 5.0;
+const REMOTE_DATA_PENALTY: f64 = 5.0;
 /// The cost of a worker in another availability zone than the rest of the job: half of the
 /// difference between an empty worker and a full one.
 const OTHER_ZONE_PENALTY: f64 = 1.0;
@@ -36,14 +36,14 @@
 
 /// Returns how many tasks of a step fit into some free capacity.
 pub(crate) fn fits(spec: &StepSpec, free: &Size) -> u64 {
-    let per = |free: u64, need: u64| free.checked_div(need).unwrap_or(u64::MAX);
-    per(free.cpu_milli, spec.size.cpu_milli)
-        .min(per(free.memory_mb, spec.size.memory_mb))
-        .min(per(free.accelerators, spec.size.accelerators))
+    let per_resource = |free: u64, need: u64| free.checked_div(need).unwrap_or(u64::MAX);
+    per_resource(free.cpu_milli, spec.size.cpu_milli)
+        .min(per_resource(free.memory_mb, spec.size.memory_mb))
+        .min(per_resource(free.accelerators, spec.size.accelerators))
 }
 
 /// Returns how many tasks of a step a worker runs.
-fn runs_of(key: &StepKey, worker: &Worker) -> u32 {
+fn running_tasks(key: &StepKey, worker: &Worker) -> u32 {
     worker.runs.keys().filter(|k| k.step == *key).count() as u32
 }
 
@@ -51,7 +51,7 @@
 pub(crate) fn max_additional_tasks(key: &StepKey, spec: &StepSpec, worker: &Worker) -> u64 {
     match spec.max_per_worker {
         0 => u64::MAX,
-        most => u64::from(most.saturating_sub(runs_of(key, worker))),
+        limit => u64::from(limit.saturating_sub(running_tasks(key, worker))),
     }
 }
 
@@ -71,66 +71,75 @@
     free: Size,
     zone: Name,
     /// The number of tasks of the step that run there.
-    here: u32,
-    near: bool,
+    step_tasks: u32,
+    /// Whether it is on the rack of the task's data.
+    near_data: bool,
     rack: Option<Name>,
     ticket: Option<Name>,
     /// The number of jobs with failed runs that count against it.
-    fails: u32,
+    failed_jobs: u32,
     /// The young suspects that run there.
     suspects: YoungSuspects,
     /// Whether anything young runs there. It is determined only where there are suspects.
     has_young_run: bool,
     /// Whether it is on probation and takes only one task, as a try.
-    on_trial: bool,
+    on_probation: bool,
     /// Whether it may take a task whose job ends if it fails once more.
-    takes_last_attempts: bool,
+    allows_last_attempt: bool,
     /// Whether it was assigned a task in this plan.
-    taken: bool,
+    assigned: bool,
 }
 
 /// The preferences by which candidates of a step are compared, besides their free capacity.
-struct Wishes<'a> {
+struct Preferences<'a> {
     /// The preferred availability zones; empty for any.
-    home: &'a BTreeSet<Name>,
+    preferred_zones: &'a BTreeSet<Name>,
     packs_accelerators: bool,
     /// How strongly the task is suspected.
     suspicion: Suspicion,
 }
 
 impl Candidate {
-    fn fits(&self, room: &Size, spec: &StepSpec) -> bool {
-        let crowded = spec.max_per_worker > 0 && self.here >= spec.max_per_worker;
-        let tried = self.on_trial && self.taken;
-        !crowded && !tried && room.fits(&self.free)
+    fn fits(&self, required: &Size, spec: &StepSpec) -> bool {
+        let at_step_limit = spec.max_per_worker > 0 && self.step_tasks >= spec.max_per_worker;
+        let probation_used = self.on_probation && self.assigned;
+        !at_step_limit && !probation_used && required.fits(&self.free)
     }
 
     /// Returns the cost of placing a task here, which grows with how full the worker would be.
     /// Tasks use more than they declare, so crowded ones slow each other down, and a lost worker
     /// takes fewer with it.
-    fn cost(&self, room: &Size, spec: &StepSpec, wishes: &Wishes<'_>, avoided: bool) -> f64 {
-        let left = self.free.minus(room);
-        let part = |left: u64, of: u64| left as f64 / of.max(1) as f64;
+    fn cost(
+        &self,
+        required: &Size,
+        spec: &StepSpec,
+        preferences: &Preferences<'_>,
+        avoided: bool,
+    ) -> f64 {
+        let remaining = self.free.minus(required);
+        let fraction = |remaining: u64, of: u64| remaining as f64 / of.max(1) as f64;
         let mut cost = 2.0
-            - part(left.cpu_milli, self.capacity.cpu_milli)
-            - part(left.memory_mb, self.capacity.memory_mb);
-        if spec.size.accelerators > 0 && wishes.packs_accelerators {
-            let free = part(left.accelerators, self.capacity.accelerators);
+            - fraction(remaining.cpu_milli, self.capacity.cpu_milli)
+            - fraction(remaining.memory_mb, self.capacity.memory_mb);
+        if spec.size.accelerators > 0 && preferences.packs_accelerators {
+            let free = fraction(remaining.accelerators, self.capacity.accelerators);
             cost += FREE_ACCELERATORS_PENALTY * free;
         }
-        cost += FAIL_PENALTY * f64::from(self.fails);
+        cost += FAILED_JOB_PENALTY * f64::from(self.failed_jobs);
         cost += SUSPECT_PENALTY * f64::from(self.suspects.count);
-        if wishes.suspicion == Suspicion::LastAttempt && self.has_young_run {
-            cost += COMPANY_PENALTY;
+        if preferences.suspicion == Suspicion::LastAttempt && self.has_young_run {
+            cost += YOUNG_NEIGHBOUR_PENALTY;
         }
         if avoided {
-            cost += AVOID_PENALTY;
+            cost += AVOIDED_WORKER_PENALTY;
         }
-        if !wishes.home.is_empty() && !wishes.home.contains(&self.zone) {
+        if !preferences.preferred_zones.is_empty()
+            && !preferences.preferred_zones.contains(&self.zone)
+        {
             cost += OTHER_ZONE_PENALTY;
         }
-        if spec.rack.is_some() && !self.near {
-            cost += FAR_PENALTY;
+        if spec.rack.is_some() && !self.near_data {
+            cost += REMOTE_DATA_PENALTY;
         }
         cost
     }
@@ -144,36 +153,39 @@
         eligibility: Eligibility,
         key: &StepKey,
         spec: &StepSpec,
-        by_ticket: bool,
+        needs_ticket: bool,
     ) -> Vec<Candidate> {
-        let suspected = !self.replicated.crashes().is_empty();
+        let any_suspects = !self.replicated.crashes().is_empty();
         let candidate = |id: &WorkerId, ticket: Option<Name>| {
             // With a backlog most workers are full, and this check is the cheapest.
             let worker =
                 self.replicated.worker(id).filter(|w| spec.required_capacity().fits(&w.free()))?;
             self.suitable_worker(m, eligibility, key, spec, id)?;
-            let near = spec.rack.as_ref().is_some_and(|r| worker.info.labels.contains(r));
-            let on_trial =
+            let near_data = spec.rack.as_ref().is_some_and(|r| worker.info.labels.contains(r));
+            let on_probation =
                 self.worker_views.get(id).is_some_and(|v| v.health.is_on_probation(m.now));
             Some(Candidate {
                 worker: id.clone(),
                 capacity: worker.info.capacity,
                 free: self.free_capacity_for(spec, worker),
-                here: runs_of(key, worker),
-                near,
+                step_tasks: running_tasks(key, worker),
+                near_data,
                 zone: worker.info.zone.clone(),
                 rack: worker.info.labels.last().cloned(),
                 ticket,
-                fails: self.worker_views.get(id).map_or(0, |v| v.health.failure_weight(m.now)),
+                failed_jobs: self
+                    .worker_views
+                    .get(id)
+                    .map_or(0, |v| v.health.failure_weight(m.now)),
                 suspects: self.plan_state.young_suspects.get(id).copied().unwrap_or_default(),
-                has_young_run: suspected && self.has_young_run(m.now, id),
-                on_trial: on_trial && eligibility != Eligibility::All,
+                has_young_run: any_suspects && self.has_young_run(m.now, id),
+                on_probation: on_probation && eligibility != Eligibility::All,
                 // A failed try must not end a job, unless the job has nothing else to wait for.
-                takes_last_attempts: !on_trial || eligibility != Eligibility::Preferred,
-                taken: false,
+                allows_last_attempt: !on_probation || eligibility != Eligibility::Preferred,
+                assigned: false,
             })
         };
-        match by_ticket {
+        match needs_ticket {
             true => {
                 let tickets = self.advice_scheduler.tickets(key, m.now);
                 tickets.filter_map(|(id, text)| candidate(id, Some(text.clone()))).collect()
@@ -182,6 +194,7 @@
         }
     }
 
+    /// Assigns waiting tasks to their best candidates, in order, until one finds none.
     pub(crate) fn assign_each(
         &self,
         key: &StepKey,
@@ -194,10 +207,11 @@
         if candidates.is_empty() {
             return placed;
         }
-        let home = self.home(key, spec, waiting.len(), candidates);
+        let preferred_zones = self.preferred_zones(key, spec, waiting.len(), candidates);
         for index in waiting {
             let task = TaskKey { step: *key, index: *index };
-            let Some(candidate) = self.best_candidate(&task, spec, candidates, &home) else {
+            let Some(candidate) = self.assign_best(&task, spec, candidates, &preferred_zones)
+            else {
                 break;
             };
             let (worker, ticket) = (candidate.worker.clone(), candidate.ticket.clone());
@@ -210,7 +224,7 @@
     /// already runs, or the one with the most free capacity. A job is late if one of its tasks is,
     /// so the fewer zones it spans, the fewer jobs the loss of a zone affects. Long-running tasks
     /// count individually and may go anywhere.
-    fn home(
+    fn preferred_zones(
         &self,
         key: &StepKey,
         spec: &StepSpec,
@@ -220,21 +234,21 @@
         if spec.long_running || !self.limits.mechanisms.colocates_jobs {
             return BTreeSet::new();
         }
-        let running = self.zones_of(key);
-        if !running.is_empty() {
-            return running;
+        let current_zones = self.job_zones(key);
+        if !current_zones.is_empty() {
+            return current_zones;
         }
-        let mut room: BTreeMap<&Name, u64> = BTreeMap::new();
+        let mut tasks_by_zone: BTreeMap<&Name, u64> = BTreeMap::new();
         for candidate in candidates {
-            *room.entry(&candidate.zone).or_default() +=
+            *tasks_by_zone.entry(&candidate.zone).or_default() +=
                 fits(spec, &candidate.free).min(tasks as u64);
         }
-        let best = room.into_iter().max_by_key(|(_, fits)| *fits);
+        let best = tasks_by_zone.into_iter().max_by_key(|(_, fits)| *fits);
         best.map(|(zone, _)| zone.clone()).into_iter().collect()
     }
 
     /// Returns the zones of the workers that a job runs on.
-    fn zones_of(&self, key: &StepKey) -> BTreeSet<Name> {
+    fn job_zones(&self, key: &StepKey) -> BTreeSet<Name> {
         let Some(job) = self.replicated.job(key.job) else { return BTreeSet::new() };
         let tasks = job.rounds.iter().flat_map(|r| &r.steps).flat_map(|s| &s.tasks);
         let workers =
@@ -251,31 +265,32 @@
     }
 
     /// Assigns the best candidate to a task, and counts the task against its capacity.
-    fn best_candidate<'a>(
+    fn assign_best<'a>(
         &self,
         task: &TaskKey,
         spec: &StepSpec,
         candidates: &'a mut [Candidate],
-        home: &BTreeSet<Name>,
+        preferred_zones: &BTreeSet<Name>,
     ) -> Option<&'a Candidate> {
         // A filler also needs its declared processor time where it is placed.
-        let room = spec.size;
+        let required = spec.size;
         let avoided_workers = self.avoided_workers.get(task);
-        let avoided = |s: &Candidate| avoided_workers.is_some_and(|a| a.contains(&s.worker));
+        let avoided = |c: &Candidate| avoided_workers.is_some_and(|a| a.contains(&c.worker));
         let packs_accelerators = self.limits.mechanisms.packs_accelerators;
         let suspicion = self.suspicion(task);
         let last_attempt = self.is_last_attempt(task, spec);
-        let wishes = Wishes { home, packs_accelerators, suspicion };
-        let risky = |s: &Candidate| last_attempt && !s.takes_last_attempts;
-        let may = |s: &Candidate| s.fits(&room, spec) && s.suspects.admits(suspicion) && !risky(s);
-        let fitting = candidates.iter_mut().filter(|s| may(s));
+        let preferences = Preferences { preferred_zones, packs_accelerators, suspicion };
+        let is_risky = |c: &Candidate| last_attempt && !c.allows_last_attempt;
+        let is_usable =
+            |c: &Candidate| c.fits(&required, spec) && c.suspects.admits(suspicion) && !is_risky(c);
+        let fitting = candidates.iter_mut().filter(|c| is_usable(c));
         let best = fitting.min_by(|a, b| {
-            let cost = |s: &Candidate| s.cost(&room, spec, &wishes, avoided(s));
+            let cost = |c: &Candidate| c.cost(&required, spec, &preferences, avoided(c));
             cost(a).total_cmp(&cost(b))
         })?;
-        best.free = best.free.minus(&room);
-        best.here += 1;
-        best.taken = true;
+        best.free = best.free.minus(&required);
+        best.step_tasks += 1;
+        best.assigned = true;
         // The members of a gang are suspected together, so they may share a worker.
         if !spec.gang {
             best.suspects.add(suspicion);
@@ -293,11 +308,12 @@
         candidates: &mut [Candidate],
     ) -> Vec<Assignment> {
         if spec.same_rack {
-            let racks: BTreeSet<Name> = candidates.iter().filter_map(|s| s.rack.clone()).collect();
+            let racks: BTreeSet<Name> = candidates.iter().filter_map(|c| c.rack.clone()).collect();
             for rack in racks {
-                let on_rack = |s: &&Candidate| s.rack.as_ref() == Some(&rack);
-                let mut some: Vec<Candidate> = candidates.iter().filter(on_rack).cloned().collect();
-                let placed = self.assign_each(key, spec, waiting, &mut some);
+                let on_rack = |c: &&Candidate| c.rack.as_ref() == Some(&rack);
+                let mut rack_candidates: Vec<Candidate> =
+                    candidates.iter().filter(on_rack).cloned().collect();
+                let placed = self.assign_each(key, spec, waiting, &mut rack_candidates);
                 if placed.len() == waiting.len() {
                     return placed;
                 }
--- a/components/dispatch/src/capacity_reservations.rs
+++ b/components/dispatch/src/capacity_reservations.rs
@@ -38,14 +38,15 @@
     /// The reserved capacity that is idle so far.
     idle: Size,
     /// The total capacity of these workers.
-    of: Size,
+    total_capacity: Size,
 }
 
 impl ReservedCapacity {
     /// Returns whether `idle` more may be reserved idle. The first reservation is always allowed,
     /// whatever its size.
     fn allows(&self, idle: &Size) -> bool {
-        self.idle == Size::ZERO || self.idle.plus(idle).times(MAX_RESERVED_DIVISOR).fits(&self.of)
+        self.idle == Size::ZERO
+            || self.idle.plus(idle).times(MAX_RESERVED_DIVISOR).fits(&self.total_capacity)
     }
 }
 
@@ -57,7 +58,7 @@
 }
 
 /// A worker that tasks of a step may wait for.
-struct Place {
+struct ReservationCandidate {
     worker: WorkerId,
     /// What is free, or will be once runs that are being stopped have ended, less what is reserved.
     free: Size,
@@ -68,22 +69,22 @@
     /// What all other runs on the worker take that end by themselves.
     ending: Size,
     /// How many more tasks of the step the worker may run.
-    most: u64,
+    max_tasks: u64,
     /// The number of tasks of the step for which capacity is reserved here.
-    taken: u64,
+    reserved_tasks: u64,
     /// The runs to preempt for them.
-    stopped: Vec<Victim>,
+    to_preempt: Vec<Victim>,
 }
 
 /// What one more task has to wait for on a worker, ordered from the cheapest to the most expensive.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Wait {
+enum RequiredWait {
     /// Nothing: the capacity is free, or will be in a moment.
     None,
     /// This many runs have to be preempted.
-    Stops(usize),
+    Preemptions(usize),
     /// Runs that take so many accelerators and so much processor time have to end by themselves.
-    Ends(u64, u64),
+    RunEnds(u64, u64),
 }
 
 /// Returns whether a task takes so much of a worker that it does not fit into what the end of any
@@ -95,43 +96,48 @@
     Dimension::ALL.iter().any(large)
 }
 
-impl Place {
-    /// Returns what one more task would have to wait for here, or `None` if it can never start
+impl ReservationCandidate {
+    /// Returns what one more task would have to wait for here, or `None` if it cannot start
     /// here.
-    fn wait(&self, size: &Size) -> Option<Wait> {
-        if self.taken >= self.most {
+    fn required_wait(&self, size: &Size) -> Option<RequiredWait> {
+        if self.reserved_tasks >= self.max_tasks {
             return None;
         }
-        let mut room = self.free;
-        for stops in 0..=self.victims.len() {
-            if size.fits(&room) {
-                return Some(if stops == 0 { Wait::None } else { Wait::Stops(stops) });
+        let mut available = self.free;
+        for preemptions in 0..=self.victims.len() {
+            if size.fits(&available) {
+                return Some(if preemptions == 0 {
+                    RequiredWait::None
+                } else {
+                    RequiredWait::Preemptions(preemptions)
+                });
             }
-            room = self.victims.get(stops).map_or(room, |v| room.plus(&v.size));
+            available =
+                self.victims.get(preemptions).map_or(available, |v| available.plus(&v.size));
         }
-        let fits = size.fits(&room.plus(&self.ending));
-        fits.then_some(Wait::Ends(self.ending.accelerators, self.ending.cpu_milli))
+        let fits = size.fits(&available.plus(&self.ending));
+        fits.then_some(RequiredWait::RunEnds(self.ending.accelerators, self.ending.cpu_milli))
     }
 
     /// Reserves capacity for one more task.
-    fn take(&mut self, size: &Size, wait: Wait) {
-        if let Wait::Stops(stops) = wait {
-            for victim in self.victims.drain(..stops) {
+    fn reserve_task(&mut self, size: &Size, wait: RequiredWait) {
+        if let RequiredWait::Preemptions(preemptions) = wait {
+            for victim in self.victims.drain(..preemptions) {
                 self.free = self.free.plus(&victim.size);
-                self.stopped.push(victim);
+                self.to_preempt.push(victim);
             }
         }
-        if matches!(wait, Wait::Ends(..)) {
+        if matches!(wait, RequiredWait::RunEnds(..)) {
             self.free = self.free.plus(&self.ending);
             self.ending = Size::ZERO;
         }
         self.free = self.free.minus(size);
-        self.taken += 1;
+        self.reserved_tasks += 1;
     }
 
     /// Returns the reserved capacity that is idle here until the tasks start.
-    fn kept_idle(&self, size: &Size) -> Size {
-        self.idle.elementwise_min(&size.times(self.taken))
+    fn idle_reserved(&self, size: &Size) -> Size {
+        self.idle.elementwise_min(&size.times(self.reserved_tasks))
     }
 }
 
@@ -147,171 +153,189 @@
         key: &StepKey,
         spec: &StepSpec,
         tasks: usize,
-        turn: PlanPass,
+        pass: PlanPass,
     ) {
-        let off = !self.limits.mechanisms.reserves_capacity;
-        if off || spec.filler {
+        let disabled = !self.limits.mechanisms.reserves_capacity;
+        if disabled || spec.filler {
             return;
         }
-        let Some(sought) = self.sought(key, spec) else { return };
-        let by_advice = self.is_by_advice(key);
-        let mut kept = match self.plan_state.reservations.get(&sought) {
-            Some(kept) => *kept,
-            None => ReservedCapacity { of: self.room_of(&sought), ..ReservedCapacity::default() },
+        let Some(selector) = self.worker_selector(key, spec) else { return };
+        let needs_advice = self.step_needs_advice(key);
+        let mut reserved = match self.plan_state.reservations.get(&selector) {
+            Some(reserved) => *reserved,
+            None => ReservedCapacity {
+                total_capacity: self.selected_capacity(&selector),
+                ..ReservedCapacity::default()
+            },
         };
-        if kept.steps >= MAX_RESERVATIONS {
+        if reserved.steps >= MAX_RESERVATIONS {
             return;
         }
         // Scanning all workers for each waiting step would take a quarter of the leader's processor
         // with 350 workers, and few of them are allowed.
-        let ids: Vec<&WorkerId> = match by_advice {
+        let ids: Vec<&WorkerId> = match needs_advice {
             true => self.advice_scheduler.allowed(key).collect(),
             false => self.worker_views.keys().collect(),
         };
         let mut workers = ids.iter().filter_map(|id| self.replicated.worker(id));
         // An overdue long-running task waits for capacity like a large one, because smaller tasks
         // take what is freed.
-        let owed =
-            turn == PlanPass::Overdue && self.plan_state.examined < OVERDUE_EXAMINATION_BUDGET;
-        let waits_for_capacity = spec.gang || owed;
+        let is_overdue =
+            pass == PlanPass::Overdue && self.plan_state.examined < OVERDUE_EXAMINATION_BUDGET;
+        let waits_for_capacity = spec.gang || is_overdue;
         if !waits_for_capacity && !workers.any(|w| is_large(&spec.size, &w.info.capacity)) {
             return;
         }
-        let places = ids.into_iter().filter_map(|id| self.place(m, eligibility, key, spec, id));
-        let mut places: Vec<Place> = places.collect();
-        self.plan_state.examined += places.len() as u64;
-        kept.steps += 1;
-        self.plan_state.reservations.insert(sought.clone(), kept);
+        let candidates = ids
+            .into_iter()
+            .filter_map(|id| self.reservation_candidate(m, eligibility, key, spec, id));
+        let mut candidates: Vec<ReservationCandidate> = candidates.collect();
+        self.plan_state.examined += candidates.len() as u64;
+        reserved.steps += 1;
+        self.plan_state.reservations.insert(selector.clone(), reserved);
         for _ in 0..tasks {
-            let waits = places.iter_mut().filter_map(|p| Some((p.wait(&spec.size)?, p)));
+            let waits =
+                candidates.iter_mut().filter_map(|c| Some((c.required_wait(&spec.size)?, c)));
             match waits.min_by_key(|(wait, _)| *wait) {
-                Some((wait, place)) => place.take(&spec.size, wait),
+                Some((wait, candidate)) => candidate.reserve_task(&spec.size, wait),
                 None if spec.gang => return,
                 None => break,
             }
         }
-        places.retain(|p| p.taken > 0);
-        let sum = |a: Size, p: &Place| a.plus(&p.kept_idle(&spec.size));
-        if spec.gang && !kept.allows(&places.iter().fold(Size::ZERO, sum)) {
+        candidates.retain(|c| c.reserved_tasks > 0);
+        let sum = |a: Size, c: &ReservationCandidate| a.plus(&c.idle_reserved(&spec.size));
+        if spec.gang && !reserved.allows(&candidates.iter().fold(Size::ZERO, sum)) {
             return;
         }
-        for place in places {
-            let idle = place.kept_idle(&spec.size);
-            if !spec.gang && !kept.allows(&idle) {
+        for candidate in candidates {
+            let idle = candidate.idle_reserved(&spec.size);
+            if !spec.gang && !reserved.allows(&idle) {
                 break;
             }
-            kept.idle = kept.idle.plus(&idle);
-            self.keep(key, spec, place);
+            reserved.idle = reserved.idle.plus(&idle);
+            self.apply_reservation(key, spec, candidate);
         }
-        self.plan_state.reservations.insert(sought, kept);
+        self.plan_state.reservations.insert(selector, reserved);
     }
 
     /// Records the reservation on one worker, and preempts the runs that it needs ended.
-    fn keep(&mut self, key: &StepKey, spec: &StepSpec, place: Place) {
-        let wanted = spec.size.times(place.taken);
-        let kept = self.plan_state.reserved_capacity.entry(place.worker.clone()).or_default();
-        *kept = kept.plus(&wanted);
-        for victim in place.stopped {
-            self.preempt(&place.worker, key, &victim);
+    fn apply_reservation(
+        &mut self,
+        key: &StepKey,
+        spec: &StepSpec,
+        candidate: ReservationCandidate,
+    ) {
+        let required = spec.size.times(candidate.reserved_tasks);
+        let reserved =
+            self.plan_state.reserved_capacity.entry(candidate.worker.clone()).or_default();
+        *reserved = reserved.plus(&required);
+        for victim in candidate.to_preempt {
+            self.preempt(&candidate.worker, key, &victim);
         }
     }
 
     /// Returns the total capacity of the workers that are eligible for some steps.
-    fn room_of(&self, sought: &WorkerSelector) -> Size {
-        let WorkerSelector { service, label } = sought;
+    fn selected_capacity(&self, selector: &WorkerSelector) -> Size {
+        let WorkerSelector { service, label } = selector;
         let infos = self.replicated.workers().values().map(|w| &w.info);
         let labelled = |i: &WorkerInfo| label.as_ref().is_none_or(|l| i.labels.contains(l));
-        let sought = infos.filter(|i| i.service == *service && labelled(i));
-        sought.fold(Size::ZERO, |a, i| a.plus(&i.capacity))
+        let selected = infos.filter(|i| i.service == *service && labelled(i));
+        selected.fold(Size::ZERO, |a, i| a.plus(&i.capacity))
     }
 
     /// Returns whether a step needs advice.
-    fn is_by_advice(&self, key: &StepKey) -> bool {
+    fn step_needs_advice(&self, key: &StepKey) -> bool {
         self.replicated.job(key.job).is_some_and(|j| self.advice_policies.contains_key(&j.queue))
     }
 
-    fn sought(&self, key: &StepKey, spec: &StepSpec) -> Option<WorkerSelector> {
+    /// Returns which workers are eligible for a step.
+    fn worker_selector(&self, key: &StepKey, spec: &StepSpec) -> Option<WorkerSelector> {
         let service = self.replicated.job(key.job)?.service.clone();
         Some(WorkerSelector { service, label: spec.constraint.clone() })
     }
 
-    fn preempt(&mut self, worker: &WorkerId, wanted_for: &StepKey, victim: &Victim) {
-        let details = format!("run={} worker={worker} for={wanted_for}", victim.run);
+    /// Logs and stops a run to free its capacity for a step.
+    fn preempt(&mut self, worker: &WorkerId, preemptor: &StepKey, victim: &Victim) {
+        let details = format!("run={} worker={worker} for={preemptor}", victim.run);
         self.log_event(&kinds::RUN_PREEMPTED, victim.task, details);
         self.send_stop(worker, &victim.task, victim.run);
     }
 
-    fn place(
+    /// Returns a worker as a candidate for reservations, or `None` if it is not suitable or smaller
+    /// than one task.
+    fn reservation_candidate(
         &self,
         m: Moment,
         eligibility: Eligibility,
         key: &StepKey,
         spec: &StepSpec,
         id: &WorkerId,
-    ) -> Option<Place> {
+    ) -> Option<ReservationCandidate> {
         let worker = self.suitable_worker(m, eligibility, key, spec, id)?;
         if !spec.size.fits(&worker.info.capacity) {
             return None;
         }
         let view = self.worker_views.get(id)?;
-        let (victims, coming, ending) = self.sort_runs(m, key, worker, view);
+        let (victims, being_freed, ending) = self.classify_runs(m, key, worker, view);
         let reserved_capacity = self.reserved_on(id);
-        let free = worker.free_after(&coming).minus(&reserved_capacity);
-        Some(Place {
+        let free = worker.free_after(&being_freed).minus(&reserved_capacity);
+        Some(ReservationCandidate {
             worker: id.clone(),
             free,
             idle: worker.free().minus(&reserved_capacity),
             victims,
             ending,
-            most: max_additional_tasks(key, spec, worker),
-            taken: 0,
-            stopped: Vec::new(),
+            max_tasks: max_additional_tasks(key, spec, worker),
+            reserved_tasks: 0,
+            to_preempt: Vec::new(),
         })
     }
 
     /// Splits the runs on a worker into those that may be preempted for a step, the capacity of
     /// those that are being stopped, and the capacity of those that end by themselves.
-    fn sort_runs(
+    fn classify_runs(
         &self,
         m: Moment,
         key: &StepKey,
         worker: &Worker,
         view: &WorkerView,
     ) -> (Vec<Victim>, Size, Size) {
-        let (mut victims, mut coming, mut ending) = (Vec::new(), Size::ZERO, Size::ZERO);
+        let (mut victims, mut being_freed, mut ending) = (Vec::new(), Size::ZERO, Size::ZERO);
         let priority = self.replicated.job(key.job).map_or(0, |j| j.priority);
         let estimate = self.replicated.step_spec(key).map_or(Millis::ZERO, |s| s.estimate);
-        let stops = self.limits.mechanisms.preempts && estimate >= MIN_PREEMPTOR_RUN_TIME;
-        let mut spare: BTreeSet<StepKey> = BTreeSet::new();
+        let may_preempt = self.limits.mechanisms.preempts && estimate >= MIN_PREEMPTOR_RUN_TIME;
+        let mut steps_with_slack: BTreeSet<StepKey> = BTreeSet::new();
         for (task, run) in &worker.runs {
             let Some(spec) = self.replicated.step_spec(&task.step) else { continue };
             let Some(order) = view.orders.get(task) else { continue };
             let size = spec.required_capacity();
             if matches!(order.stage, Stage::Stopping | Stage::Stopped { .. }) {
-                coming = coming.plus(&size);
+                being_freed = being_freed.plus(&size);
                 continue;
             }
             if spec.long_running {
                 continue;
             }
             let confirmed = matches!(order.stage, Stage::Confirmed { .. });
-            let may_stop = stops && confirmed && spec.checkpointing && !spec.gang;
-            let later = self.replicated.job(task.step.job).is_some_and(|j| j.priority > priority);
-            if may_stop
-                && later
-                && (spare.contains(&task.step) || self.has_time_to_spare(m, &task.step))
+            let is_preemptible = may_preempt && confirmed && spec.checkpointing && !spec.gang;
+            let is_less_urgent =
+                self.replicated.job(task.step.job).is_some_and(|j| j.priority > priority);
+            if is_preemptible
+                && is_less_urgent
+                && (steps_with_slack.contains(&task.step)
+                    || self.has_preemption_slack(m, &task.step))
             {
-                spare.insert(task.step);
+                steps_with_slack.insert(task.step);
                 victims.push(Victim { task: *task, run: *run, size });
             } else {
                 ending = ending.plus(&size);
             }
         }
         victims.sort_by_key(|v| std::cmp::Reverse((v.size.accelerators, v.size.cpu_milli)));
-        (victims, coming, ending)
+        (victims, being_freed, ending)
     }
 
-    fn has_time_to_spare(&self, m: Moment, key: &StepKey) -> bool {
+    fn has_preemption_slack(&self, m: Moment, key: &StepKey) -> bool {
         self.slack(m, key) >= MIN_PREEMPTION_SLACK
     }
 }
--- a/components/dispatch/src/planning.rs
+++ b/components/dispatch/src/planning.rs
@@ -39,8 +39,8 @@
     pub(crate) fn plan(&mut self, m: Moment) -> u64 {
         self.long_running_waits.update(m, &self.replicated);
         self.wait_logger.choose(m.now, &self.long_running_waits);
-        let SelectedSteps { mut urgent, mut in_rotation, skipped } = self.look_at(m);
-        in_rotation.extend(self.long_waiting(m, &urgent, &in_rotation));
+        let SelectedSteps { mut urgent, mut in_rotation, skipped } = self.select_steps(m);
+        in_rotation.extend(self.long_waiting_steps(m, &urgent, &in_rotation));
         let steps = (urgent.len() + in_rotation.len()) as u64;
         let lacked_callers = self.plan_state.without_caller > 0;
         self.plan_state.begin(skipped + steps * EXAMINATIONS_PER_STEP);
@@ -49,13 +49,13 @@
         self.find_young_suspects(m);
         self.find_deprioritised(m);
         self.advice_scheduler.begin_plan(m.now, lacked_callers);
-        let owed = self.overdue_steps(m);
-        self.plan_state.examined += owed.len() as u64 * EXAMINATIONS_PER_STEP;
+        let overdue = self.overdue_steps(m);
+        self.plan_state.examined += overdue.len() as u64 * EXAMINATIONS_PER_STEP;
         self.advice_scheduler.reexamine(
             m.now,
             AdvicePriority::Overdue,
-            owed.iter().map(|e| &e.key),
-            owed.len(),
+            overdue.iter().map(|e| &e.key),
+            overdue.len(),
         );
         self.advice_scheduler.reexamine(
             m.now,
@@ -63,22 +63,28 @@
             urgent.iter().map(|e| &e.key),
             MAX_STEPS_REEXAMINED,
         );
-        let rest = in_rotation.iter().map(|e| &e.key);
-        self.advice_scheduler.reexamine(m.now, AdvicePriority::Normal, rest, in_rotation.len());
+        let rotation_keys = in_rotation.iter().map(|e| &e.key);
+        self.advice_scheduler.reexamine(
+            m.now,
+            AdvicePriority::Normal,
+            rotation_keys,
+            in_rotation.len(),
+        );
         let aged = self.aged_steps(m, urgent.iter().chain(&in_rotation));
         self.reexamine_aged(m, &aged);
-        let mut orders = self.starts_in_flight();
-        self.plan_steps(m, PlanPass::Overdue, owed, &mut orders);
-        let owed_put_back = self.plan_state.deferred.len();
-        self.plan_steps(m, PlanPass::Aged, aged, &mut orders);
-        self.plan_steps(m, PlanPass::Normal, urgent, &mut orders);
+        let mut in_flight = self.starts_in_flight();
+        self.plan_steps(m, PlanPass::Overdue, overdue, &mut in_flight);
+        let overdue_deferred = self.plan_state.deferred.len();
+        self.plan_steps(m, PlanPass::Aged, aged, &mut in_flight);
+        self.plan_steps(m, PlanPass::Normal, urgent, &mut in_flight);
         // While some steps were not examined because the plan's budget of scans ran out, as after a
         // burst, those might start, so they come before steps that wait for capacity. Tickets are
         // kept valid only for the steps that get freed capacity first.
-        let all_looked_at = self.plan_state.not_examined == 0;
-        let waiting = if all_looked_at { self.plan_state.deferred.len() } else { owed_put_back };
-        self.plan_steps(m, PlanPass::Normal, in_rotation, &mut orders);
-        self.plan_state.deferred.truncate(waiting);
+        let all_examined = self.plan_state.not_examined == 0;
+        let kept_deferred =
+            if all_examined { self.plan_state.deferred.len() } else { overdue_deferred };
+        self.plan_steps(m, PlanPass::Normal, in_rotation, &mut in_flight);
+        self.plan_state.deferred.truncate(kept_deferred);
         self.request_advice_for_waiting(m);
         for entry in self.advice_scheduler.due_ahead(m.now) {
             if self.is_at_limit(&entry.key) {
@@ -91,8 +97,8 @@
     }
 
     /// Selects the open steps that a plan examines.
-    fn look_at(&mut self, m: Moment) -> SelectedSteps {
-        let mut window = std::mem::take(&mut self.step_selector);
+    fn select_steps(&mut self, m: Moment) -> SelectedSteps {
+        let mut selector = std::mem::take(&mut self.step_selector);
         let readiness = |key: &StepKey| {
             let is_due = |j: &Job| m.wall >= j.spec.due(key.round);
             match self.replicated.job(key.job).is_some_and(is_due) {
@@ -101,14 +107,14 @@
                 true => Readiness::MayStart,
             }
         };
-        let looked = window.next(self.replicated.open(), readiness);
-        self.step_selector = window;
-        looked
+        let selected = selector.next(self.replicated.open(), readiness);
+        self.step_selector = selector;
+        selected
     }
 
     /// Returns the first steps with long-waiting, long-running tasks that this plan would not
     /// examine otherwise. They are examined however many steps precede them.
-    fn long_waiting(
+    fn long_waiting_steps(
         &self,
         m: Moment,
         urgent: &[OpenStep],
@@ -143,31 +149,37 @@
     /// it is freed and all calls for advice. A long-running task needs little and waits once in a
     /// while, but never gets both at the same time.
     fn overdue_steps(&self, m: Moment) -> Vec<OpenStep> {
-        let owed =
+        let overdue =
             self.long_running_waits.overdue_steps(m.now).filter(|(key, _)| !self.is_at_limit(key));
-        let mut owed: Vec<(Millis, StepKey)> = owed.map(|(k, at)| (at, *k)).collect();
-        owed.sort_unstable();
-        if owed.len() > MAX_OVERDUE_STEPS {
-            let turns = (m.now.0 / OVERDUE_ROTATION_INTERVAL.0) as usize;
-            let first = turns * (MAX_OVERDUE_STEPS / 2) % owed.len();
-            owed.rotate_left(first);
-            owed.truncate(MAX_OVERDUE_STEPS);
+        let mut overdue: Vec<(Millis, StepKey)> = overdue.map(|(k, at)| (at, *k)).collect();
+        overdue.sort_unstable();
+        if overdue.len() > MAX_OVERDUE_STEPS {
+            let rotations = (m.now.0 / OVERDUE_ROTATION_INTERVAL.0) as usize;
+            let first = rotations * (MAX_OVERDUE_STEPS / 2) % overdue.len();
+            overdue.rotate_left(first);
+            overdue.truncate(MAX_OVERDUE_STEPS);
         }
-        owed.into_iter().filter_map(|(_, key)| self.open_step(key)).collect()
+        overdue.into_iter().filter_map(|(_, key)| self.open_step(key)).collect()
     }
 
     /// Places what it can of some steps, and adds the placed tasks to the starts in flight.
-    fn plan_steps(&mut self, m: Moment, turn: PlanPass, steps: Vec<OpenStep>, orders: &mut usize) {
+    fn plan_steps(
+        &mut self,
+        m: Moment,
+        pass: PlanPass,
+        steps: Vec<OpenStep>,
+        in_flight: &mut usize,
+    ) {
         for entry in steps {
-            if *orders >= MAX_STARTS_IN_FLIGHT {
+            if *in_flight >= MAX_STARTS_IN_FLIGHT {
                 break;
             }
-            *orders += self.plan_step(m, turn, entry);
+            *in_flight += self.plan_step(m, pass, entry);
         }
     }
 
     /// Places what it can of a step. Returns how many tasks were placed.
-    fn plan_step(&mut self, m: Moment, turn: PlanPass, entry: OpenStep) -> usize {
+    fn plan_step(&mut self, m: Moment, pass: PlanPass, entry: OpenStep) -> usize {
         let key = entry.key;
         let Some(job) = self.replicated.job(key.job) else { return 0 };
         self.advice_scheduler.forget_ahead(&key);
@@ -176,15 +188,15 @@
         let Some(step) = self.replicated.step(&key) else { return 0 };
         // The members of a gang start to wait at the same time, so all of them are eligible or none
         // is.
-        let is_meant = |index: &u32| {
-            turn != PlanPass::Overdue
+        let is_included = |index: &u32| {
+            pass != PlanPass::Overdue
                 || self.long_running_waits.is_overdue(m.now, &TaskKey { step: key, index: *index })
         };
         let next_run = step.last_run() + 1;
-        let meant: Vec<u32> = step.waiting().filter(is_meant).collect();
-        let meant = self.within_limit(&key, spec, meant);
-        let allowed_count = meant.len();
-        let waiting = self.may_start(m, &key, spec, meant);
+        let included: Vec<u32> = step.waiting().filter(is_included).collect();
+        let included = self.within_limit(&key, spec, included);
+        let allowed_count = included.len();
+        let waiting = self.may_start(m, &key, spec, included);
         let held_back = allowed_count - waiting.len();
         if held_back > 0 {
             self.probe_unanswered_runs(m, &key);
@@ -194,26 +206,26 @@
             return 0;
         }
         let advice = self.advice_policies.get(&queue).copied();
-        let eligibility = self.eligibility(m, &key, spec, turn, advice.is_some());
+        let eligibility = self.eligibility(m, &key, spec, pass, advice.is_some());
         let mut candidates = self.candidates(m, eligibility, &key, spec, advice.is_some());
         self.plan_state.examined += candidates.len() as u64;
         let placed = match spec.gang {
             true => self.assign_gang(&key, spec, &waiting, &mut candidates),
             false => self.assign_each(&key, spec, &waiting, &mut candidates),
         };
-        let (found, left) = (placed.len(), waiting.len() - placed.len());
+        let (placed_count, remaining) = (placed.len(), waiting.len() - placed.len());
         if !placed.is_empty() {
-            self.give_out(m, &key, spec, placed, next_run);
+            self.start_tasks(m, &key, spec, placed, next_run);
         }
         // The step may use the capacity that is reserved from here on, so its wait is logged before
         // that.
         self.log_wait(m, &key, true);
-        if left == 0 && held_back > 0 {
+        if remaining == 0 && held_back > 0 {
             // The suspects that are held back may start as soon as the others seem healthy, so
             // their tickets are requested ahead.
             if let Some(policy) = advice {
                 let (tasks, advice_priority) =
-                    (held_back as u64, Dispatcher::advice_priority(turn));
+                    (held_back as u64, Dispatcher::advice_priority(pass));
                 self.request_advice(
                     m,
                     StepNeedingAdvice {
@@ -227,28 +239,28 @@
                     },
                 );
             }
-            return found;
+            return placed_count;
         }
-        if left == 0 && turn == PlanPass::Overdue {
-            return found;
+        if remaining == 0 && pass == PlanPass::Overdue {
+            return placed_count;
         }
-        if left == 0 {
+        if remaining == 0 {
             self.advice_scheduler.record_all_placed(&key);
             self.schedule_advice(m, entry);
-            return found;
+            return placed_count;
         }
         // This precedes the reservation, because capacity that the step reserves is free for the
         // step itself.
         if let Some(policy) = advice {
             let (job, tasks, advice_priority) =
-                (job.clone(), left as u64, Dispatcher::advice_priority(turn));
+                (job.clone(), remaining as u64, Dispatcher::advice_priority(pass));
             self.request_advice(
                 m,
                 StepNeedingAdvice { key, queue, policy, job, tasks, eligibility, advice_priority },
             );
         }
-        self.reserve_capacity(m, eligibility, &key, spec, left, turn);
-        found
+        self.reserve_capacity(m, eligibility, &key, spec, remaining, pass);
+        placed_count
     }
 
     /// Returns the worker if tasks of a step may run there, whatever capacity it has free.
@@ -277,24 +289,26 @@
         worker: &Worker,
         view: &WorkerView,
     ) -> bool {
-        let labelled = spec.constraint.as_ref().is_none_or(|l| worker.info.labels.contains(l));
-        let sought = worker.info.service == *service && labelled;
-        sought && self.is_eligible(m, eligibility, worker, view) && self.is_compatible(spec, worker)
+        let has_label = spec.constraint.as_ref().is_none_or(|l| worker.info.labels.contains(l));
+        let is_match = worker.info.service == *service && has_label;
+        is_match
+            && self.is_eligible(m, eligibility, worker, view)
+            && self.is_compatible(spec, worker)
     }
 
-    /// Returns whether another worker than `not_on` has capacity for a task of a step and may run
+    /// Returns whether another worker than `excluded` has capacity for a task of a step and may run
     /// it.
     pub(crate) fn has_capacity_elsewhere(
         &self,
         m: Moment,
         key: &StepKey,
-        not_on: &WorkerId,
+        excluded: &WorkerId,
     ) -> bool {
         let Some(job) = self.replicated.job(key.job) else { return false };
         let spec = &job.spec.steps[key.step as usize];
-        let by_advice = self.advice_policies.contains_key(&job.queue);
-        let takes = |id: &WorkerId| {
-            let allowed = !by_advice || self.advice_scheduler.is_allowed(key, id);
+        let needs_advice = self.advice_policies.contains_key(&job.queue);
+        let can_take = |id: &WorkerId| {
+            let allowed = !needs_advice || self.advice_scheduler.is_allowed(key, id);
             let worker = if allowed {
                 self.suitable_worker(m, Eligibility::Preferred, key, spec, id)
             } else {
@@ -302,7 +316,7 @@
             };
             worker.is_some_and(|w| spec.size.fits(&self.free_capacity_for(spec, w)))
         };
-        self.worker_views.keys().any(|id| id != not_on && takes(id))
+        self.worker_views.keys().any(|id| id != excluded && can_take(id))
     }
 
     /// Returns whether a step may run beside the tasks that a worker runs. Fillers disturb tasks
@@ -338,7 +352,8 @@
         Size { cpu_milli: free.cpu_milli.saturating_sub(taken), ..free }
     }
 
-    fn give_out(
+    /// Records the assigned tasks as held starts, and sends each once its command is committed.
+    fn start_tasks(
         &mut self,
         m: Moment,
         key: &StepKey,
@@ -349,8 +364,8 @@
         let mut by_worker: BTreeMap<WorkerId, Vec<(TaskKey, u32)>> = BTreeMap::new();
         for Assignment { index, worker, ticket } in placed {
             let task = TaskKey { step: *key, index };
-            let own_next = self.replicated.task(&task).map_or(1, |t| t.run + 1);
-            let run = if spec.gang { next_run } else { own_next };
+            let task_next_run = self.replicated.task(&task).map_or(1, |t| t.run + 1);
+            let run = if spec.gang { next_run } else { task_next_run };
             let order = Order {
                 run,
                 stage: Stage::Held,
