--- a/components/dispatch/src/advice.rs
+++ b/components/dispatch/src/advice.rs
@@ -24,7 +24,7 @@
 /// Returns the minimum number of workers that a call names. Where steps wait for an instance to
 /// make a call, a long one names as many as make it half as long again as one that names nobody,
 /// since each call that names too few is followed by another.
-fn least_named(policy: &AdvicePolicy, lacked_callers: bool) -> usize {
+fn min_named_workers(policy: &AdvicePolicy, lacked_callers: bool) -> usize {
     if is_short(policy) || !lacked_callers {
         return ADVICE_MIN_WORKERS;
     }
@@ -63,26 +63,26 @@
     tickets: BTreeMap<WorkerId, Ticket>,
     allowed: BTreeSet<WorkerId>,
     disallowed: BTreeSet<WorkerId>,
-    asked: Option<u64>,
-    next_at: Millis,
+    pending_call: Option<u64>,
+    next_call_at: Millis,
     /// Since when the step has needed a call and no instance was free to make it.
     lacks_caller_since: Option<Millis>,
     /// Set if the last examination found no worker with free capacity.
-    waiting: Option<WaitForRoom>,
+    capacity_wait: Option<CapacityWait>,
 }
 
 /// A step for which no free capacity was found.
 #[derive(Clone, Copy, Debug)]
-struct WaitForRoom {
-    looked_at: Millis,
+struct CapacityWait {
+    examined_at: Millis,
     policy: AdvicePolicy,
 }
 
 impl StepAdvice {
     /// Returns when to look for workers to ask about again after none was found: when the first
     /// ticket is due for renewal, or after a pause.
-    fn next_look(&self, now: Millis, renewal: Millis) -> Millis {
-        let due = self.tickets.values().map(|t| t.until.since(renewal));
+    fn next_examination(&self, now: Millis, renewal_lead: Millis) -> Millis {
+        let due = self.tickets.values().map(|t| t.until.since(renewal_lead));
         // A ticket that was not renewed in time belongs to a worker that is not usable.
         let first_due = due.filter(|t| *t > now).min();
         let pause = now + NO_CANDIDATES_PAUSE;
@@ -92,13 +92,13 @@
 
 /// A call in flight.
 #[derive(Clone, Debug)]
-struct Asked {
+struct PendingCall {
     step: StepKey,
     queue: Name,
     caller: InstanceId,
     workers: Vec<WorkerId>,
     /// When another instance is asked.
-    give_up_at: Millis,
+    overdue_at: Millis,
     /// Whether another instance may have been asked. A late answer still counts.
     overdue: bool,
     advice_priority: AdvicePriority,
@@ -153,36 +153,39 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AdviceScheduler {
     steps: BTreeMap<StepKey, StepAdvice>,
-    calls: BTreeMap<u64, Asked>,
+    calls: BTreeMap<u64, PendingCall>,
     callers: BTreeSet<InstanceId>,
     busy: BTreeSet<InstanceId>,
     /// How many instances are free to make calls in the current plan. Counting them for each of
     /// hundreds of steps would take as long as the rest of a plan.
-    free: usize,
+    idle_caller_count: usize,
     /// How many instances are reserved for short calls.
     reserved_callers: usize,
     reserve: AdviceReserve,
     /// Whether steps needed calls in the last plan that no instance was free to make.
     lacked_callers: bool,
     /// The instances in backoff because their last call got no answer, with its end.
-    resting: BTreeMap<InstanceId, Millis>,
+    in_backoff: BTreeMap<InstanceId, Millis>,
     rates: BTreeMap<Name, Rate>,
     next_id: u64,
     /// The steps waiting for capacity that the current plan re-examines as if they could start.
-    again: BTreeSet<StepKey>,
+    to_reexamine: BTreeSet<StepKey>,
     /// When to request advice on steps that are not open yet.
     ahead: BTreeMap<StepKey, (Millis, OpenStep)>,
 }
 
 /// The distance between the first call numbers of two consecutive terms. No term makes as many
 /// calls.
-const CALLS_A_TERM: u64 = 1 << 32;
+const CALL_IDS_PER_TERM: u64 = 1 << 32;
 
 impl AdviceScheduler {
     /// Creates a scheduler without advice. The call numbers of each term are distinct, since an
     /// instance that leads again may still get answers to calls of an earlier term.
     pub(crate) fn for_term(term: u64) -> AdviceScheduler {
-        AdviceScheduler { next_id: term.wrapping_mul(CALLS_A_TERM), ..AdviceScheduler::default() }
+        AdviceScheduler {
+            next_id: term.wrapping_mul(CALL_IDS_PER_TERM),
+            ..AdviceScheduler::default()
+        }
     }
 
     /// Sets the instances that can make calls.
@@ -191,15 +194,15 @@
     }
 
     /// Returns the instances that are free to make a call.
-    fn free_helpers(&self, now: Millis) -> impl Iterator<Item = &InstanceId> {
+    fn idle_callers(&self, now: Millis) -> impl Iterator<Item = &InstanceId> {
         let is_in_backoff =
-            move |h: &InstanceId| self.resting.get(h).is_some_and(|until| now < *until);
-        self.callers.iter().filter(move |h| !self.busy.contains(*h) && !is_in_backoff(h))
+            move |c: &InstanceId| self.in_backoff.get(c).is_some_and(|until| now < *until);
+        self.callers.iter().filter(move |c| !self.busy.contains(*c) && !is_in_backoff(c))
     }
 
     /// Returns how many instances must be free for a call to be made. The service processes the
     /// calls of an instance one after the other, so some instances are reserved for short calls.
-    fn fewest_free(&self, policy: &AdvicePolicy, advice_priority: AdvicePriority) -> usize {
+    fn min_idle_callers(&self, policy: &AdvicePolicy, advice_priority: AdvicePriority) -> usize {
         match advice_priority {
             _ if is_short(policy) => 1,
             AdvicePriority::Normal | AdvicePriority::Aged => self.reserved_callers + 1,
@@ -211,7 +214,7 @@
     fn has_caller(&self, policy: &AdvicePolicy, advice_priority: AdvicePriority) -> bool {
         let may_call = advice_priority != AdvicePriority::Aged
             || self.aged_calls() * AGED_CALLERS_DIVISOR < self.callers.len();
-        may_call && self.free >= self.fewest_free(policy, advice_priority)
+        may_call && self.idle_caller_count >= self.min_idle_callers(policy, advice_priority)
     }
 
     /// Returns how many calls are in flight for steps that had long lacked one.
@@ -245,8 +248,8 @@
         step: &StepKey,
         now: Millis,
     ) -> impl Iterator<Item = (&WorkerId, &Name)> {
-        let known = self.steps.get(step).into_iter().flat_map(|s| &s.tickets);
-        known.filter(move |(_, t)| t.until > now + MIN_TICKET_VALIDITY).map(|(w, t)| (w, &t.text))
+        let tickets = self.steps.get(step).into_iter().flat_map(|s| &s.tickets);
+        tickets.filter(move |(_, t)| t.until > now + MIN_TICKET_VALIDITY).map(|(w, t)| (w, &t.text))
     }
 
     /// Returns the workers that are known not to be allowed.
@@ -292,9 +295,9 @@
     }
 
     /// Drops what is known about steps that are no longer needed.
-    pub(crate) fn retain(&mut self, matters: impl Fn(&StepKey) -> bool) {
-        self.steps.retain(|k, _| matters(k));
-        self.ahead.retain(|k, _| matters(k));
+    pub(crate) fn retain(&mut self, is_needed: impl Fn(&StepKey) -> bool) {
+        self.steps.retain(|k, _| is_needed(k));
+        self.ahead.retain(|k, _| is_needed(k));
     }
 
     /// Returns whether a call on a step could be made now. It is checked before workers are
@@ -321,56 +324,57 @@
     }
 
     fn is_due(&self, step: &StepKey, now: Millis) -> bool {
-        let waits = |s: &StepAdvice| s.asked.is_some() || now < s.next_at;
-        !self.steps.get(step).is_some_and(waits)
+        let is_blocked = |s: &StepAdvice| s.pending_call.is_some() || now < s.next_call_at;
+        !self.steps.get(step).is_some_and(is_blocked)
     }
 
     /// Returns whether a step waits for capacity, so that a call on it would let no task start.
     pub(crate) fn waits_for_capacity(&self, step: &StepKey) -> bool {
-        let waits = self.steps.get(step).is_some_and(|s| s.waiting.is_some());
-        waits && !self.again.contains(step)
+        let waits = self.steps.get(step).is_some_and(|s| s.capacity_wait.is_some());
+        waits && !self.to_reexamine.contains(step)
     }
 
-    /// Marks up to `most` of these steps for re-examination in the plan that begins: those waiting
-    /// for capacity whose last examination is the oldest, if a call on them could be made. Capacity
-    /// may have been freed where they hold no ticket.
+    /// Marks up to `max_steps` of these steps for re-examination in the plan that begins: those
+    /// waiting for capacity whose last examination is the oldest, if a call on them could be made.
+    /// Capacity may have been freed where they hold no ticket.
     pub(crate) fn reexamine<'a>(
         &mut self,
         now: Millis,
         advice_priority: AdvicePriority,
         steps: impl Iterator<Item = &'a StepKey>,
-        most: usize,
+        max_steps: usize,
     ) {
-        let looked_at = |key: &StepKey| {
-            let waiting = self.steps.get(key)?.waiting?;
-            let rested = now >= waiting.looked_at + MIN_REEXAMINE_INTERVAL;
-            rested.then_some((waiting.looked_at, waiting.policy))
+        let due_wait = |key: &StepKey| {
+            let waiting = self.steps.get(key)?.capacity_wait?;
+            let is_old_enough = now >= waiting.examined_at + MIN_REEXAMINE_INTERVAL;
+            is_old_enough.then_some((waiting.examined_at, waiting.policy))
         };
         let mut waiting: Vec<(Millis, StepKey, AdvicePolicy)> =
-            steps.filter_map(|key| looked_at(key).map(|(at, policy)| (at, *key, policy))).collect();
+            steps.filter_map(|key| due_wait(key).map(|(at, policy)| (at, *key, policy))).collect();
         waiting.sort_unstable_by_key(|(at, key, _)| (*at, *key));
         let may_request = |(_, key, policy): &(Millis, StepKey, AdvicePolicy)| {
             self.may_request(key, policy, advice_priority, now)
         };
-        let again = waiting.into_iter().filter(may_request).take(most).map(|(_, key, _)| key);
-        let again: Vec<StepKey> = again.collect();
-        self.again.extend(again);
+        let to_reexamine =
+            waiting.into_iter().filter(may_request).take(max_steps).map(|(_, key, _)| key);
+        let to_reexamine: Vec<StepKey> = to_reexamine.collect();
+        self.to_reexamine.extend(to_reexamine);
     }
 
     /// Begins a plan: clears the steps to re-examine, and counts the instances that are free and
     /// those to reserve.
     pub(crate) fn begin_plan(&mut self, now: Millis, lacked_callers: bool) {
-        self.again.clear();
+        self.to_reexamine.clear();
         self.lacked_callers = lacked_callers;
-        self.free = self.free_helpers(now).count();
+        self.idle_caller_count = self.idle_callers(now).count();
         self.reserved_callers = self.reserve.reserved_instances(now, self.callers.len());
     }
 
     /// Records that no tasks of a step are waiting any more.
     pub(crate) fn record_all_placed(&mut self, step: &StepKey) {
-        if let Some(known) = self.steps.get_mut(step) {
-            known.waiting = None;
-            known.lacks_caller_since = None;
+        if let Some(advice) = self.steps.get_mut(step) {
+            advice.capacity_wait = None;
+            advice.lacks_caller_since = None;
         }
     }
 
@@ -378,37 +382,38 @@
     pub(crate) fn record_capacity(
         &mut self,
         now: Millis,
-        want: &AdviceNeed<'_>,
+        need: &AdviceNeed<'_>,
         has_capacity: bool,
     ) {
-        let waits = WaitForRoom { looked_at: now, policy: want.policy };
-        self.steps.entry(want.step).or_default().waiting = (!has_capacity).then_some(waits);
+        let wait = CapacityWait { examined_at: now, policy: need.policy };
+        self.steps.entry(need.step).or_default().capacity_wait = (!has_capacity).then_some(wait);
     }
 
     /// Chooses the workers that a call on a step is to name, if one is worth it.
     pub(crate) fn choose(
         &mut self,
         now: Millis,
-        want: &AdviceNeed<'_>,
-        prospects: Vec<AdviceCandidate>,
+        need: &AdviceNeed<'_>,
+        candidates: Vec<AdviceCandidate>,
     ) -> AdviceSelection {
-        let known = self.steps.entry(want.step).or_default();
-        let fits = |p: &AdviceCandidate| p.fits.min(want.tasks);
-        let room: u64 = prospects.iter().map(fits).sum();
+        let advice = self.steps.entry(need.step).or_default();
+        let fits = |c: &AdviceCandidate| c.fits.min(need.tasks);
+        let capacity: u64 = candidates.iter().map(fits).sum();
         // Tickets are renewed before they expire, so that freed capacity is used immediately.
-        let renewal =
-            Millis(cost_ms(&want.policy, known.allowed.len()) as u64) + MIN_TICKET_VALIDITY;
-        let fresh = |w: &WorkerId| known.tickets.get(w).is_some_and(|t| t.until > now + renewal);
-        let open: Vec<AdviceCandidate> = prospects
+        let renewal_lead =
+            Millis(cost_ms(&need.policy, advice.allowed.len()) as u64) + MIN_TICKET_VALIDITY;
+        let fresh =
+            |w: &WorkerId| advice.tickets.get(w).is_some_and(|t| t.until > now + renewal_lead);
+        let askable: Vec<AdviceCandidate> = candidates
             .into_iter()
-            .filter(|p| !known.disallowed.contains(&p.worker) && !fresh(&p.worker))
+            .filter(|c| !advice.disallowed.contains(&c.worker) && !fresh(&c.worker))
             .collect();
-        let rate = self.rates.get(want.queue).map_or(0.5, |r| (r.allowed / r.asked).max(0.1));
-        let room_to_ask_about = open.iter().any(|p| p.fits > 0);
-        let has_capacity = room_to_ask_about && (!want.gang || room >= want.tasks);
-        let workers = choose(want, open, (&known.allowed, rate), self.lacked_callers);
+        let rate = self.rates.get(need.queue).map_or(0.5, |r| (r.allowed / r.asked).max(0.1));
+        let any_free = askable.iter().any(|c| c.fits > 0);
+        let has_capacity = any_free && (!need.gang || capacity >= need.tasks);
+        let workers = select_workers(need, askable, (&advice.allowed, rate), self.lacked_callers);
         if workers.is_empty() {
-            known.next_at = known.next_look(now, renewal);
+            advice.next_call_at = advice.next_examination(now, renewal_lead);
         }
         AdviceSelection { workers, has_capacity }
     }
@@ -417,40 +422,40 @@
     pub(crate) fn call(
         &mut self,
         now: Millis,
-        want: &AdviceNeed<'_>,
-        choice: AdviceSelection,
+        need: &AdviceNeed<'_>,
+        selection: AdviceSelection,
     ) -> Option<AdviceRequest> {
         let caller = self
-            .free_helpers(now)
-            .nth(self.fewest_free(&want.policy, want.advice_priority) - 1)?
+            .idle_callers(now)
+            .nth(self.min_idle_callers(&need.policy, need.advice_priority) - 1)?
             .clone();
-        let known = self.steps.entry(want.step).or_default();
-        let workers = choice.workers;
-        if workers.is_empty() || known.asked.is_some() || now < known.next_at {
+        let advice = self.steps.entry(need.step).or_default();
+        let workers = selection.workers;
+        if workers.is_empty() || advice.pending_call.is_some() || now < advice.next_call_at {
             return None;
         }
-        let cost = cost_ms(&want.policy, workers.len());
+        let cost = cost_ms(&need.policy, workers.len());
         self.next_id += 1;
         let id = self.next_id;
-        known.asked = Some(id);
-        known.lacks_caller_since = None;
-        known.next_at = now + MIN_ADVICE_INTERVAL;
+        advice.pending_call = Some(id);
+        advice.lacks_caller_since = None;
+        advice.next_call_at = now + MIN_ADVICE_INTERVAL;
         self.busy.insert(caller.clone());
-        self.free = self.free.saturating_sub(1);
-        let asked = Asked {
-            step: want.step,
-            queue: want.queue.clone(),
+        self.idle_caller_count = self.idle_caller_count.saturating_sub(1);
+        let pending = PendingCall {
+            step: need.step,
+            queue: need.queue.clone(),
             caller: caller.clone(),
             workers: workers.clone(),
-            give_up_at: now + Millis((cost * ADVICE_OVERDUE_FACTOR) as u64) + ADVICE_OVERDUE_MARGIN,
+            overdue_at: now + Millis((cost * ADVICE_OVERDUE_FACTOR) as u64) + ADVICE_OVERDUE_MARGIN,
             overdue: false,
-            advice_priority: want.advice_priority,
+            advice_priority: need.advice_priority,
         };
-        self.calls.insert(id, asked);
-        if is_short(&want.policy) {
+        self.calls.insert(id, pending);
+        if is_short(&need.policy) {
             self.reserve.record(now, cost);
         }
-        Some(AdviceRequest { id, caller, step: want.step, workers })
+        Some(AdviceRequest { id, caller, step: need.step, workers })
     }
 
     /// Processes the answer to a call; `None` if there was none. Returns whether the call was in
@@ -464,26 +469,26 @@
     ) -> bool {
         let Some(call) = self.calls.remove(&id) else { return false };
         self.busy.remove(&call.caller);
-        let known = self.steps.entry(call.step).or_default();
-        if known.asked == Some(id) {
-            known.asked = None;
+        let advice = self.steps.entry(call.step).or_default();
+        if advice.pending_call == Some(id) {
+            advice.pending_call = None;
         }
         let Some(allowed) = allowed else {
-            known.next_at = now + MIN_ADVICE_INTERVAL;
-            self.resting.insert(call.caller, now + ADVICE_CALLER_BACKOFF);
+            advice.next_call_at = now + MIN_ADVICE_INTERVAL;
+            self.in_backoff.insert(call.caller, now + ADVICE_CALLER_BACKOFF);
             return true;
         };
-        self.resting.remove(&call.caller);
+        self.in_backoff.remove(&call.caller);
         let rate = self.rates.entry(call.queue).or_insert(Rate { allowed: 1.0, asked: 2.0 });
         // The past decays, so that the rate follows a policy that changes.
         rate.allowed = rate.allowed * 0.9 + allowed.len() as f64;
         rate.asked = rate.asked * 0.9 + call.workers.len() as f64;
-        known.disallowed.extend(call.workers);
+        advice.disallowed.extend(call.workers);
         let until = now + valid.unwrap_or_default();
         for (worker, text) in allowed {
-            known.disallowed.remove(&worker);
-            known.allowed.insert(worker.clone());
-            known.tickets.insert(worker, Ticket { text, until });
+            advice.disallowed.remove(&worker);
+            advice.allowed.insert(worker.clone());
+            advice.tickets.insert(worker, Ticket { text, until });
         }
         true
     }
@@ -491,20 +496,21 @@
     /// Lets another instance be asked where a call takes too long, and drops a call once no answer
     /// can arrive.
     pub(crate) fn expire(&mut self, now: Millis) {
-        let mut gone = Vec::new();
+        let mut expired = Vec::new();
         for (id, call) in &mut self.calls {
-            if now >= call.give_up_at + ADVICE_CALLER_BACKOFF {
-                gone.push(*id);
-            } else if now >= call.give_up_at && !call.overdue {
+            if now >= call.overdue_at + ADVICE_CALLER_BACKOFF {
+                expired.push(*id);
+            } else if now >= call.overdue_at && !call.overdue {
                 call.overdue = true;
-                self.resting.insert(call.caller.clone(), call.give_up_at + ADVICE_CALLER_BACKOFF);
-                if let Some(known) = self.steps.get_mut(&call.step) {
-                    known.asked = None;
-                    known.next_at = now + MIN_ADVICE_INTERVAL;
+                self.in_backoff
+                    .insert(call.caller.clone(), call.overdue_at + ADVICE_CALLER_BACKOFF);
+                if let Some(advice) = self.steps.get_mut(&call.step) {
+                    advice.pending_call = None;
+                    advice.next_call_at = now + MIN_ADVICE_INTERVAL;
                 }
             }
         }
-        for id in gone {
+        for id in expired {
             if let Some(call) = self.calls.remove(&id) {
                 self.busy.remove(&call.caller);
             }
@@ -515,41 +521,41 @@
 /// Chooses the workers that a call names: those with free capacity, the ones known to be allowed
 /// first, until the tasks probably find enough of it; where they do not, also workers that are full
 /// now.
-fn choose(
-    want: &AdviceNeed<'_>,
-    mut open: Vec<AdviceCandidate>,
+fn select_workers(
+    need: &AdviceNeed<'_>,
+    mut askable: Vec<AdviceCandidate>,
     (allowed, rate): (&BTreeSet<WorkerId>, f64),
     lacked_callers: bool,
 ) -> Vec<WorkerId> {
     // Caching the key avoids looking up who is allowed at each comparison, which would cost more
     // than the sort.
-    open.sort_by_cached_key(|p| {
-        (p.fits == 0, !allowed.contains(&p.worker), std::cmp::Reverse(p.fits))
+    askable.sort_by_cached_key(|c| {
+        (c.fits == 0, !allowed.contains(&c.worker), std::cmp::Reverse(c.fits))
     });
-    let all_short = cost_ms(&want.policy, open.len()) <= MAX_SHORT_ADVICE_MS;
-    let needed = want.tasks as f64 * ADVICE_CAPACITY_FACTOR;
-    let most_full =
-        if is_short(&want.policy) { ADVICE_MAX_WORKERS } else { ADVICE_MAX_FULL_WORKERS };
+    let all_short = cost_ms(&need.policy, askable.len()) <= MAX_SHORT_ADVICE_MS;
+    let needed = need.tasks as f64 * ADVICE_CAPACITY_FACTOR;
+    let max_full =
+        if is_short(&need.policy) { ADVICE_MAX_WORKERS } else { ADVICE_MAX_FULL_WORKERS };
     let mut workers = Vec::new();
     let mut expected = 0.0;
-    let mut full = 0;
-    for p in open.into_iter().take(ADVICE_MAX_WORKERS) {
-        let known = allowed.contains(&p.worker);
-        let least = if all_short {
+    let mut full_named = 0;
+    for c in askable.into_iter().take(ADVICE_MAX_WORKERS) {
+        let is_known = allowed.contains(&c.worker);
+        let min_named = if all_short {
             SHORT_ADVICE_WORKERS
         } else {
-            least_named(&want.policy, lacked_callers)
+            min_named_workers(&need.policy, lacked_callers)
         };
-        let named_enough = (known && !all_short) || workers.len() >= least;
-        if expected >= needed && (p.fits == 0 || named_enough) {
+        let named_enough = (is_known && !all_short) || workers.len() >= min_named;
+        if expected >= needed && (c.fits == 0 || named_enough) {
             break;
         }
-        full += usize::from(p.fits == 0);
-        if full > most_full {
+        full_named += usize::from(c.fits == 0);
+        if full_named > max_full {
             break;
         }
-        expected += p.fits.min(want.tasks) as f64 * if known { 1.0 } else { rate };
-        workers.push(p.worker);
+        expected += c.fits.min(need.tasks) as f64 * if is_known { 1.0 } else { rate };
+        workers.push(c.worker);
     }
     workers
 }
--- a/components/dispatch/src/advice_requests.rs
+++ b/components/dispatch/src/advice_requests.rs
@@ -25,7 +25,7 @@
 /// The part of a ticket's validity by which advice on a step may arrive before the step is likely
 /// to open. Declared run times are often too long. Advice that arrives too early costs another
 /// call, and advice that arrives too late delays the step by the whole time of the call.
-const ADVICE_LEAD: f64 = 0.5;
+const ADVICE_LEAD_FRACTION: f64 = 0.5;
 
 /// A step whose tasks wait for permission to run somewhere.
 pub(crate) struct StepNeedingAdvice {
@@ -47,7 +47,7 @@
         &self.job.steps[self.key.step as usize]
     }
 
-    fn want(&self) -> AdviceNeed<'_> {
+    fn as_need(&self) -> AdviceNeed<'_> {
         let StepNeedingAdvice { key, queue, policy, tasks, advice_priority, .. } = self;
         let (policy, tasks, advice_priority, gang) =
             (*policy, *tasks, *advice_priority, self.spec().gang);
@@ -65,23 +65,25 @@
         let Some(policy) = self.advice_policies.get(&job.queue).copied() else { return };
         let spec = job.spec.clone();
         let round = &job.rounds[entry.key.round as usize];
-        let under_way = |d: &u32| round.steps[*d as usize].waiting().next().is_none();
-        let mut ahead = Vec::new();
+        let is_fully_placed = |d: &u32| round.steps[*d as usize].waiting().next().is_none();
+        let mut later_steps = Vec::new();
         for (step, s) in (0..).zip(&spec.steps) {
-            if !s.depends_on.contains(&entry.key.step) || !s.depends_on.iter().all(under_way) {
+            if !s.depends_on.contains(&entry.key.step) || !s.depends_on.iter().all(is_fully_placed)
+            {
                 continue;
             }
             let estimate = spec.steps[entry.key.step as usize].estimate;
             let cost = cost_ms(&policy, s.count.min(30) as usize);
-            let lead = policy.valid.0 as f64 * ADVICE_LEAD;
+            let lead = policy.valid.0 as f64 * ADVICE_LEAD_FRACTION;
             let at = (m.now + estimate).since(Millis((cost + lead) as u64));
-            ahead.push((at, OpenStep { key: StepKey { step, ..entry.key }, ..entry }));
+            later_steps.push((at, OpenStep { key: StepKey { step, ..entry.key }, ..entry }));
         }
-        for (at, entry) in ahead {
+        for (at, entry) in later_steps {
             self.advice_scheduler.schedule_ahead(at, entry);
         }
     }
 
+    /// Requests advice on a step that is not open yet, if this plan may still scan the workers.
     pub(crate) fn request_advice_ahead(&mut self, m: Moment, entry: OpenStep) {
         let key = entry.key;
         let Some(job) = self.replicated.job(key.job) else { return };
@@ -128,18 +130,18 @@
         }
         if !self.may_scan(m, &need) {
             let StepNeedingAdvice { key, policy, advice_priority, .. } = &need;
-            let lacks_look =
+            let lacks_scan =
                 self.advice_scheduler.may_request(key, policy, *advice_priority, m.now);
             self.plan_state.without_caller += u64::from(lacks_caller);
-            self.plan_state.not_examined += u64::from(lacks_look);
+            self.plan_state.not_examined += u64::from(lacks_scan);
             return;
         }
         let choice = self.choose(m, &need);
-        self.advice_scheduler.record_capacity(m.now, &need.want(), choice.has_capacity);
+        self.advice_scheduler.record_capacity(m.now, &need.as_need(), choice.has_capacity);
         // Capacity for an overdue task is reserved on workers that are known to allow it.
-        let must_know = need.advice_priority == AdvicePriority::Overdue
+        let lacks_allowed_worker = need.advice_priority == AdvicePriority::Overdue
             && self.advice_scheduler.allowed(&need.key).next().is_none();
-        match choice.has_capacity || must_know {
+        match choice.has_capacity || lacks_allowed_worker {
             true => self.call(m, &need, choice),
             false => self.plan_state.deferred.push((need, Some(choice))),
         }
@@ -159,8 +161,8 @@
     }
 
     /// Returns how many of the reserved instances a call on a step may use.
-    pub(crate) fn advice_priority(turn: PlanPass) -> AdvicePriority {
-        match turn {
+    pub(crate) fn advice_priority(pass: PlanPass) -> AdvicePriority {
+        match pass {
             PlanPass::Overdue => AdvicePriority::Overdue,
             PlanPass::Aged => AdvicePriority::Aged,
             PlanPass::Normal => AdvicePriority::Normal,
@@ -169,41 +171,43 @@
 
     fn choose(&mut self, m: Moment, need: &StepNeedingAdvice) -> AdviceSelection {
         self.plan_state.scans += 1;
-        let prospects = self.prospects(m, need);
-        self.advice_scheduler.choose(m.now, &need.want(), prospects)
+        let advice_candidates = self.advice_candidates(m, need);
+        self.advice_scheduler.choose(m.now, &need.as_need(), advice_candidates)
     }
 
     fn call(&mut self, m: Moment, need: &StepNeedingAdvice, choice: AdviceSelection) {
-        let Some(request) = self.advice_scheduler.call(m.now, &need.want(), choice) else { return };
-        let (by, named, tasks) = (&request.caller, request.workers.len(), need.tasks);
+        let Some(call) = self.advice_scheduler.call(m.now, &need.as_need(), choice) else { return };
+        let (by, named, tasks) = (&call.caller, call.workers.len(), need.tasks);
         self.log_event(
             &kinds::ADVICE_ASKED,
             need.key,
             format!("by={by} named={named} tasks={tasks}"),
         );
-        self.act(Action::RequestAdvice(request));
+        self.act(Action::RequestAdvice(call));
     }
 
     /// Returns the workers that a call may name. Iterates over both maps in parallel: looking up
     /// each of 1,100 workers in them, 250 times a second, took most of a plan's time.
-    fn prospects(&self, m: Moment, need: &StepNeedingAdvice) -> Vec<AdviceCandidate> {
+    fn advice_candidates(&self, m: Moment, need: &StepNeedingAdvice) -> Vec<AdviceCandidate> {
         let (key, spec) = (&need.key, need.spec());
         let Some(job) = self.replicated.job(key.job) else { return Vec::new() };
         let disallowed = self.advice_scheduler.disallowed(key);
         let mut worker_views = self.worker_views.iter().peekable();
-        let mut found = Vec::new();
+        let mut matching = Vec::new();
         for (id, worker) in self.replicated.workers() {
             while worker_views.next_if(|(known, _)| *known < id).is_some() {}
             let Some((_, view)) = worker_views.next_if(|(known, _)| *known == id) else { continue };
-            let open = disallowed.is_none_or(|b| !b.contains(id));
-            if open && self.is_suitable(m, need.eligibility, &job.service, spec, worker, view) {
-                found.push(self.prospect(key, spec, worker));
+            let may_be_allowed = disallowed.is_none_or(|b| !b.contains(id));
+            if may_be_allowed
+                && self.is_suitable(m, need.eligibility, &job.service, spec, worker, view)
+            {
+                matching.push(self.advice_candidate(key, spec, worker));
             }
         }
-        found
+        matching
     }
 
-    fn prospect(&self, key: &StepKey, spec: &StepSpec, worker: &Worker) -> AdviceCandidate {
+    fn advice_candidate(&self, key: &StepKey, spec: &StepSpec, worker: &Worker) -> AdviceCandidate {
         let fits = fits(spec, &self.free_capacity_for(spec, worker))
             .min(max_additional_tasks(key, spec, worker));
         AdviceCandidate { worker: worker.info.id.clone(), fits }
--- a/components/dispatch/src/aging.rs
+++ b/components/dispatch/src/aging.rs
@@ -20,8 +20,8 @@
 
 /// Returns whether at least half of each resource is free.
 fn is_half_empty(capacity: &Size, used: &Size) -> bool {
-    let half = |d: &Dimension| used.get(*d) * 2 <= capacity.get(*d);
-    Dimension::ALL.iter().all(half)
+    let is_half_free = |d: &Dimension| used.get(*d) * 2 <= capacity.get(*d);
+    Dimension::ALL.iter().all(is_half_free)
 }
 
 impl Dispatcher {
@@ -32,8 +32,8 @@
         m: Moment,
         steps: impl Iterator<Item = &'a OpenStep>,
     ) -> Vec<OpenStep> {
-        let lacked = |e: &OpenStep| Some((self.advice_scheduler.lacks_caller_since(&e.key)?, *e));
-        let mut aged: Vec<(Millis, OpenStep)> = steps.filter_map(lacked).collect();
+        let lacking = |e: &OpenStep| Some((self.advice_scheduler.lacks_caller_since(&e.key)?, *e));
+        let mut aged: Vec<(Millis, OpenStep)> = steps.filter_map(lacking).collect();
         aged.retain(|(since, _)| m.now.since(*since) >= ADVICE_AGED_AFTER);
         if aged.is_empty() {
             return Vec::new();
@@ -44,13 +44,13 @@
         aged.rotate_left(first);
         aged.truncate(MAX_AGED_STEPS_EXAMINED);
         self.aged_rotation = self.aged_rotation.wrapping_add(aged.len());
-        let idle = self.half_empty_workers();
-        let examined = (aged.len() * idle.len()) as u64;
+        let half_empty = self.half_empty_workers();
+        let examined = (aged.len() * half_empty.len()) as u64;
         let aged = aged.into_iter().map(|(_, e)| e);
-        let stands = aged.filter(|e| self.has_room_on(m, e, &idle));
-        let stands: Vec<OpenStep> = stands.take(MAX_AGED_STEPS).collect();
+        let startable = aged.filter(|e| self.has_capacity_on(m, e, &half_empty));
+        let startable: Vec<OpenStep> = startable.take(MAX_AGED_STEPS).collect();
         self.plan_state.examined += examined;
-        stands
+        startable
     }
 
     fn half_empty_workers(&self) -> Vec<(&Worker, &WorkerView)> {
@@ -61,19 +61,25 @@
 
     /// Returns whether tasks of a step could start on one of some workers, unless these are known
     /// not to be allowed.
-    fn has_room_on(&self, m: Moment, entry: &OpenStep, workers: &[(&Worker, &WorkerView)]) -> bool {
+    fn has_capacity_on(
+        &self,
+        m: Moment,
+        entry: &OpenStep,
+        workers: &[(&Worker, &WorkerView)],
+    ) -> bool {
         let key = &entry.key;
         let Some(job) = self.replicated.job(key.job) else { return false };
         let spec = &job.spec.steps[key.step as usize];
         let disallowed = self.advice_scheduler.disallowed(key);
-        let takes = |(worker, view): &(&Worker, &WorkerView)| {
-            let open = disallowed.is_none_or(|b| !b.contains(&worker.info.id));
-            let room = || fits(spec, &worker.free()).min(max_additional_tasks(key, spec, worker));
+        let can_take = |(worker, view): &(&Worker, &WorkerView)| {
+            let may_be_allowed = disallowed.is_none_or(|b| !b.contains(&worker.info.id));
+            let additional_tasks =
+                || fits(spec, &worker.free()).min(max_additional_tasks(key, spec, worker));
             let suitable =
                 || self.is_suitable(m, Eligibility::Preferred, &job.service, spec, worker, view);
-            open && room() > 0 && suitable()
+            may_be_allowed && additional_tasks() > 0 && suitable()
         };
-        workers.iter().any(takes)
+        workers.iter().any(can_take)
     }
 
     /// Marks steps for re-examination in the plan that begins, as if they could start and with a
