--- a/components/dispatch/src/wait_reasons.rs
+++ b/components/dispatch/src/wait_reasons.rs
@@ -76,14 +76,14 @@
     workers: u64,
     /// The workers without any reason.
     fit: u64,
-    against: BTreeMap<WaitReason, u64>,
+    by_reason: BTreeMap<WaitReason, u64>,
 }
 
 impl WaitReasons {
-    fn add(&mut self, cause: Option<WaitReason>) {
+    fn add(&mut self, reason: Option<WaitReason>) {
         self.workers += 1;
-        match cause {
-            Some(cause) => *self.against.entry(cause).or_default() += 1,
+        match reason {
+            Some(reason) => *self.by_reason.entry(reason).or_default() += 1,
             None => self.fit += 1,
         }
     }
@@ -93,12 +93,12 @@
 impl fmt::Display for WaitReasons {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "workers={} fit={}", self.workers, self.fit)?;
-        self.against.iter().try_for_each(|(cause, n)| write!(f, " {}={n}", cause.name()))
+        self.by_reason.iter().try_for_each(|(reason, n)| write!(f, " {}={n}", reason.name()))
     }
 }
 
 /// A waiting task, with what is the same for all workers.
-struct Sought<'a> {
+struct WaitingTask<'a> {
     task: TaskKey,
     spec: &'a StepSpec,
     /// The workers that it has a ticket for; `None` if it needs none.
@@ -115,65 +115,68 @@
         else {
             return wait_reasons;
         };
-        let by_advice = self.advice_policies.contains_key(&job.queue);
-        let tickets = by_advice
+        let needs_advice = self.advice_policies.contains_key(&job.queue);
+        let tickets = needs_advice
             .then(|| self.advice_scheduler.tickets(key, m.now).map(|(id, _)| id).collect());
-        let sought =
-            Sought { task, spec, tickets, avoided_workers: self.avoided_workers.get(&task) };
+        let waiting =
+            WaitingTask { task, spec, tickets, avoided_workers: self.avoided_workers.get(&task) };
         let workers =
             self.worker_views.iter().filter_map(|(id, v)| Some((self.replicated.worker(id)?, v)));
         for (worker, view) in workers.filter(|(w, _)| w.info.service == job.service) {
-            wait_reasons.add(self.cause(m, &sought, worker, view));
+            wait_reasons.add(self.reason(m, &waiting, worker, view));
         }
         wait_reasons
     }
 
     /// Returns the first reason that applies to a worker.
-    fn cause(
+    fn reason(
         &self,
         m: Moment,
-        sought: &Sought<'_>,
+        waiting: &WaitingTask<'_>,
         worker: &Worker,
         view: &WorkerView,
     ) -> Option<WaitReason> {
-        let lasting = self.lasting_cause(sought, worker);
-        let state = || self.state_cause(m, worker, view);
-        let room = || self.room_cause(sought, worker);
-        lasting.or_else(state).or_else(room).or_else(|| self.leave_cause(sought, worker))
+        let permanent = self.permanent_reason(waiting, worker);
+        let in_state = || self.state_reason(m, worker, view);
+        let in_capacity = || self.capacity_reason(waiting, worker);
+        permanent
+            .or_else(in_state)
+            .or_else(in_capacity)
+            .or_else(|| self.permission_reason(waiting, worker))
     }
 
     /// Returns a reason that applies for as long as the task waits.
-    fn lasting_cause(&self, sought: &Sought<'_>, worker: &Worker) -> Option<WaitReason> {
-        let (spec, info) = (sought.spec, &worker.info);
+    fn permanent_reason(&self, waiting: &WaitingTask<'_>, worker: &Worker) -> Option<WaitReason> {
+        let (spec, info) = (waiting.spec, &worker.info);
         if spec.constraint.as_ref().is_some_and(|l| !info.labels.contains(l)) {
             return Some(WaitReason::Unlabelled);
         }
-        if self.is_barred(sought, &info.id) {
+        if self.is_disallowed(waiting, &info.id) {
             return Some(WaitReason::NotAllowed);
         }
         (!spec.size.fits(&info.capacity)).then_some(WaitReason::TooSmall)
     }
 
-    fn is_barred(&self, sought: &Sought<'_>, id: &WorkerId) -> bool {
-        let disallowed = self.advice_scheduler.disallowed(&sought.task.step);
-        sought.tickets.is_some() && disallowed.is_some_and(|b| b.contains(id))
+    fn is_disallowed(&self, waiting: &WaitingTask<'_>, id: &WorkerId) -> bool {
+        let disallowed = self.advice_scheduler.disallowed(&waiting.task.step);
+        waiting.tickets.is_some() && disallowed.is_some_and(|b| b.contains(id))
     }
 
     /// Returns a reason in the worker's state, whatever is to run there.
-    fn state_cause(&self, m: Moment, worker: &Worker, view: &WorkerView) -> Option<WaitReason> {
-        let silent = !view.in_contact || view.silent_since.is_some();
+    fn state_reason(&self, m: Moment, worker: &Worker, view: &WorkerView) -> Option<WaitReason> {
+        let is_silent = !view.in_contact || view.silent_since.is_some();
         if view.leaving {
             return Some(WaitReason::Leaving);
         }
-        if silent || self.silent_zones.contains(&worker.info.zone) {
+        if is_silent || self.silent_zones.contains(&worker.info.zone) {
             return Some(WaitReason::Silent);
         }
         view.health.is_in_backoff(m.now).then_some(WaitReason::InBackoff)
     }
 
     /// Returns a reason in what runs on the worker, or may soon.
-    fn room_cause(&self, sought: &Sought<'_>, worker: &Worker) -> Option<WaitReason> {
-        let Sought { task, spec, .. } = sought;
+    fn capacity_reason(&self, waiting: &WaitingTask<'_>, worker: &Worker) -> Option<WaitReason> {
+        let WaitingTask { task, spec, .. } = waiting;
         let id = &worker.info.id;
         if !self.is_compatible(spec, worker) {
             return Some(WaitReason::Incompatible);
@@ -182,11 +185,11 @@
             return Some(WaitReason::Crowded);
         }
         if !spec.size.fits(&self.free_capacity_for(spec, worker)) {
-            let kept = self.reserved_on(id);
-            let with_kept = self.free_capacity_for(spec, worker).plus(&kept);
-            let only_kept =
-                spec.required_capacity().fits(&worker.free()) && spec.size.fits(&with_kept);
-            return Some(if only_kept { WaitReason::Reserved } else { WaitReason::Full });
+            let reserved = self.reserved_on(id);
+            let with_reserved = self.free_capacity_for(spec, worker).plus(&reserved);
+            let only_reserved =
+                spec.required_capacity().fits(&worker.free()) && spec.size.fits(&with_reserved);
+            return Some(if only_reserved { WaitReason::Reserved } else { WaitReason::Full });
         }
         let suspects = self.plan_state.young_suspects.get(id).copied().unwrap_or_default();
         (!suspects.admits(self.suspicion(task))).then_some(WaitReason::Suspects)
@@ -194,8 +197,8 @@
 
     /// Returns a missing permission, or a reason that makes the worker less suitable without ruling
     /// it out.
-    fn leave_cause(&self, sought: &Sought<'_>, worker: &Worker) -> Option<WaitReason> {
-        let Sought { task, tickets, avoided_workers, .. } = sought;
+    fn permission_reason(&self, waiting: &WaitingTask<'_>, worker: &Worker) -> Option<WaitReason> {
+        let WaitingTask { task, tickets, avoided_workers, .. } = waiting;
         let id = &worker.info.id;
         if tickets.as_ref().is_some_and(|t| !t.contains(id)) {
             let allowed = self.advice_scheduler.is_allowed(&task.step, id);
--- a/components/dispatch/src/worker_health.rs
+++ b/components/dispatch/src/worker_health.rs
@@ -3,12 +3,12 @@
 //! A worker that fails what it runs, that was slow, or whose availability zone has just fallen
 //! silent gets no new work for a while. Load patterns: every worker fails for some seconds, for a
 //! reason common to all; jobs that can never succeed fail wherever they run; the few workers that a
-//! step may use are the ones that fail. In each of them workers that are judged one by one add up
-//! to all that some work could use, and it waits beside free capacity. So three rules apply. A
-//! worker is quarantined only if it stands out among the others, and at most a part of them is. One
-//! that has been quarantined is on probation: it gets one run at a time until one succeeds. And
-//! deprioritising a worker is a preference, which ends where no other worker is left.
-//! docs/design/platform.md, "Workers that are spared".
+//! step may use are the ones that fail. In each of these cases, judging every worker by itself
+//! would exclude all workers that some work could use, and that work would wait beside free
+//! capacity. So three rules apply. A worker is quarantined only if it stands out among the others,
+//! and at most a part of them is. One that has been quarantined is on probation: it gets one run at
+//! a time until one succeeds. And deprioritising a worker is a preference, which ends where no
+//! other worker is left. docs/design/platform.md, "Workers that are spared".
 
 use std::collections::BTreeSet;
 
@@ -29,14 +29,14 @@
 
 /// How long a single failure counts against its worker: the time of a few tries of a quick task
 /// elsewhere.
-const SINGLE_FAIL_WEIGHS: Millis = Millis(1_000);
+const SINGLE_FAILURE_RETENTION: Millis = Millis(1_000);
 /// The factor by which a worker's failed tasks must exceed the average of the others for the worker
 /// to stand out. With 2, up to 15 of 48 healthy workers get no work for three seconds where a tenth
 /// of the quick jobs can never succeed.
-const STANDS_OUT: usize = 4;
+const OUTLIER_FACTOR: usize = 4;
 /// The number of failed jobs, without a successful run between them, from which a worker is
 /// quarantined regardless of the others.
-const JOBS_TO_BE_SURE: usize = 4;
+const MIN_FAILED_JOBS_FOR_CERTAINTY: usize = 4;
 
 /// How a worker's last runs ended, and the resulting restrictions.
 #[derive(Clone, Debug, Default)]
@@ -46,12 +46,12 @@
     first_failed_at: Millis,
     failed_at: Millis,
     /// When the worker was last quarantined.
-    judged_at: Millis,
+    quarantined_at: Millis,
     /// How often it was quarantined since the last successful run.
-    times: u32,
-    aside_until: Millis,
+    quarantine_count: u32,
+    quarantined_until: Millis,
     slow_until: Millis,
-    rests_until: Millis,
+    backoff_until: Millis,
 }
 
 impl WorkerHealth {
@@ -59,26 +59,26 @@
     /// failed does not show how the worker handles new ones: the worker would be trusted and fail
     /// them, again and again.
     pub(crate) fn record_done(&mut self, now: Millis, began: Millis) {
-        let old = !self.failed.is_empty() && began <= self.first_failed_at;
-        if old || (self.times > 0 && began <= self.judged_at) {
+        let predates_failures = !self.failed.is_empty() && began <= self.first_failed_at;
+        if predates_failures || (self.quarantine_count > 0 && began <= self.quarantined_at) {
             return;
         }
         self.failed.clear();
-        self.times = 0;
-        self.aside_until = self.aside_until.min(now);
+        self.quarantine_count = 0;
+        self.quarantined_until = self.quarantined_until.min(now);
     }
 
     /// Records a failed run. Returns whether the worker is to be quarantined.
     pub(crate) fn record_failed(&mut self, now: Millis, task: TaskKey, began: Millis) -> bool {
         // Runs that were there together when the worker was quarantined are one piece of evidence.
-        if self.judged_at > Millis::ZERO && began <= self.judged_at {
+        if self.quarantined_at > Millis::ZERO && began <= self.quarantined_at {
             return false;
         }
         // Where all runs are long-running, none ever succeeds. Without this, two failures far apart
         // would quarantine a healthy worker.
         if self.recent_failures(now) == 0 {
             self.failed.clear();
-            self.times = 0;
+            self.quarantine_count = 0;
         }
         if self.failed.is_empty() {
             self.first_failed_at = now;
@@ -99,18 +99,19 @@
     }
 
     /// Quarantines the worker, for longer each time. Returns for how long.
-    fn set_aside(&mut self, now: Millis) -> Millis {
-        let span = Millis(QUARANTINE_TIME.0 << self.times.min(MAX_QUARANTINE_DOUBLINGS));
-        self.times += 1;
-        self.judged_at = now;
-        self.aside_until = now + span;
-        span
+    fn quarantine(&mut self, now: Millis) -> Millis {
+        let duration =
+            Millis(QUARANTINE_TIME.0 << self.quarantine_count.min(MAX_QUARANTINE_DOUBLINGS));
+        self.quarantine_count += 1;
+        self.quarantined_at = now;
+        self.quarantined_until = now + duration;
+        duration
     }
 
     /// Puts the worker in backoff, because it has just refused a start or nothing could be sent to
     /// it.
     pub(crate) fn back_off(&mut self, until: Millis) {
-        self.rests_until = self.rests_until.max(until);
+        self.backoff_until = self.backoff_until.max(until);
     }
 
     /// Deprioritises the worker because it is slow.
@@ -121,13 +122,13 @@
     /// Returns the number of jobs with failed runs since the last successful one, or 0 if none has
     /// failed recently.
     pub(crate) fn recent_failures(&self, now: Millis) -> u32 {
-        let lately = now.since(self.failed_at.max(self.aside_until)) < FAILURE_RETENTION;
-        if lately { self.failed_jobs() as u32 } else { 0 }
+        let is_recent = now.since(self.failed_at.max(self.quarantined_until)) < FAILURE_RETENTION;
+        if is_recent { self.failed_jobs() as u32 } else { 0 }
     }
 
     /// Returns the number of tasks that have failed there since a run succeeded, or 0 if none has
     /// failed recently.
-    fn recent_tasks(&self, now: Millis) -> usize {
+    fn recent_failed_tasks(&self, now: Millis) -> usize {
         if self.recent_failures(now) > 0 { self.failed.len() } else { 0 }
     }
 
@@ -145,14 +146,14 @@
     /// show that it is healthy.
     pub(crate) fn failure_weight(&self, now: Millis) -> u32 {
         match self.recent_failures(now) {
-            1 if now.since(self.failed_at) >= SINGLE_FAIL_WEIGHS => 0,
-            fails => fails,
+            1 if now.since(self.failed_at) >= SINGLE_FAILURE_RETENTION => 0,
+            failures => failures,
         }
     }
 
     /// Returns whether the worker is quarantined for failures.
     pub(crate) fn is_quarantined(&self, now: Millis) -> bool {
-        now < self.aside_until
+        now < self.quarantined_until
     }
 
     /// Returns whether the worker is deprioritised as slow.
@@ -162,23 +163,24 @@
 
     /// Returns whether the worker is in backoff.
     pub(crate) fn is_in_backoff(&self, now: Millis) -> bool {
-        now < self.rests_until
+        now < self.backoff_until
     }
 
     /// Returns whether the worker is on probation: it was quarantined, and no run has succeeded
     /// there since.
     pub(crate) fn is_on_probation(&self, now: Millis) -> bool {
-        self.times > 0 && self.recent_failures(now) > 0
+        self.quarantine_count > 0 && self.recent_failures(now) > 0
     }
 
     /// Returns whether a worker on probation may have another try if its last run began at
     /// `last_began`.
     fn may_try(&self, now: Millis, last_began: Option<Millis>) -> bool {
-        let rested = now.since(self.failed_at) >= QUARANTINE_RETRY;
+        let retry_due = now.since(self.failed_at) >= QUARANTINE_RETRY;
         // A try that has survived for a while does not block the next one, as it may run for any
         // time.
-        let is_over = |at: Millis| at <= self.judged_at || now.since(at) >= MAX_YOUNG_RUN_AGE;
-        rested && last_began.is_none_or(is_over)
+        let is_settled =
+            |at: Millis| at <= self.quarantined_at || now.since(at) >= MAX_YOUNG_RUN_AGE;
+        retry_due && last_began.is_none_or(is_settled)
     }
 }
 
@@ -186,35 +188,35 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Peers {
     /// How many are quarantined.
-    aside: usize,
+    quarantined: usize,
     /// How many are not quarantined.
-    used: usize,
+    in_use: usize,
     /// How many tasks have recently failed on those, in total.
     failed_tasks: usize,
 }
 
 impl Peers {
     /// Returns whether one more worker may be quarantined.
-    fn may_set_aside(&self) -> bool {
-        let all = self.aside + self.used + 1;
-        self.aside == 0 || (self.aside + 1) * MAX_QUARANTINED_DIVISOR <= all
+    fn may_quarantine(&self) -> bool {
+        let all = self.quarantined + self.in_use + 1;
+        self.quarantined == 0 || (self.quarantined + 1) * MAX_QUARANTINED_DIVISOR <= all
     }
 
     /// Returns whether they fare better than a worker on which so many tasks failed. Where jobs
     /// fail wherever they run, or all workers fail for one reason, none stands out.
     fn fare_better(&self, failed_tasks: usize) -> bool {
-        self.used == 0 || failed_tasks * self.used > self.failed_tasks * STANDS_OUT
+        self.in_use == 0 || failed_tasks * self.in_use > self.failed_tasks * OUTLIER_FACTOR
     }
 }
 
 /// The workers that a step may go to, by their health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Eligibility {
-    /// Those that are not deprioritised. One on probation gets one try at a time.
+    /// Workers that are not deprioritised. One on probation gets one try at a time.
     Preferred,
-    /// Those that are deprioritised, too. One on probation, quarantined or not, gets one try at a time.
+    /// Deprioritised workers, too. One on probation, quarantined or not, gets one try at a time.
     Deprioritised,
-    /// All that can take work.
+    /// All workers that can take work.
     All,
 }
 
@@ -238,33 +240,33 @@
         if !self.limits.mechanisms.quarantines_workers {
             return;
         }
-        let lasts = self.replicated.step_spec(&task.step).is_some_and(|s| s.long_running);
+        let long_running = self.replicated.step_spec(&task.step).is_some_and(|s| s.long_running);
         // Long-running tasks end at any time, and a worker that fails all it starts fails them
         // immediately.
-        if lasts && m.now.since(began) >= MAX_YOUNG_RUN_AGE {
+        if long_running && m.now.since(began) >= MAX_YOUNG_RUN_AGE {
             return;
         }
         let Some(view) = self.worker_views.get_mut(id) else { return };
         if view.health.record_failed(m.now, *task, began) {
-            self.set_aside(m, id);
+            self.quarantine(m, id);
         }
     }
 
     /// Quarantines a worker, unless too many are already or the others fare no better.
-    fn set_aside(&mut self, m: Moment, id: &WorkerId) {
+    fn quarantine(&mut self, m: Moment, id: &WorkerId) {
         let Some(service) = self.replicated.worker(id).map(|w| w.info.service.clone()) else {
             return;
         };
         let peers = self.peers_of(m, id, &service);
         let Some(view) = self.worker_views.get_mut(id) else { return };
-        let fares_worse = peers.fare_better(view.health.recent_tasks(m.now));
-        let is_sure = view.health.failed_jobs() >= JOBS_TO_BE_SURE;
-        if !peers.may_set_aside() || !(fares_worse || is_sure) {
+        let fares_worse = peers.fare_better(view.health.recent_failed_tasks(m.now));
+        let is_certain = view.health.failed_jobs() >= MIN_FAILED_JOBS_FOR_CERTAINTY;
+        if !peers.may_quarantine() || !(fares_worse || is_certain) {
             return;
         }
-        let span = view.health.set_aside(m.now);
-        let (aside, all) = (peers.aside + 1, peers.aside + peers.used + 1);
-        let details = format!("for_ms={} aside={aside} workers={all}", span.0);
+        let duration = view.health.quarantine(m.now);
+        let (aside, all) = (peers.quarantined + 1, peers.quarantined + peers.in_use + 1);
+        let details = format!("for_ms={} aside={aside} workers={all}", duration.0);
         self.log_event(&kinds::WORKER_FAILING, id, details);
     }
 
@@ -278,10 +280,10 @@
                 continue;
             }
             match view.health.is_quarantined(m.now) {
-                true => peers.aside += 1,
+                true => peers.quarantined += 1,
                 false => {
-                    peers.used += 1;
-                    peers.failed_tasks += view.health.recent_tasks(m.now);
+                    peers.in_use += 1;
+                    peers.failed_tasks += view.health.recent_failed_tasks(m.now);
                 }
             }
         }
@@ -299,26 +301,27 @@
         if !self.worker_views.get(id).is_some_and(|v| v.health.has_failed()) {
             return;
         }
-        for row in running {
-            let lasts = self.replicated.step_spec(&row.task.step).is_some_and(|s| s.long_running);
-            let Some(view) = self.worker_views.get(id).filter(|_| lasts) else { continue };
-            let Some(order) = view.orders.get(&row.task).filter(|o| o.run == row.run) else {
+        for status in running {
+            let long_running =
+                self.replicated.step_spec(&status.task.step).is_some_and(|s| s.long_running);
+            let Some(view) = self.worker_views.get(id).filter(|_| long_running) else { continue };
+            let Some(order) = view.orders.get(&status.task).filter(|o| o.run == status.run) else {
                 continue;
             };
             let began = order.since;
             let confirmed = matches!(order.stage, Stage::Confirmed { .. });
-            let lives = confirmed && m.now.since(began) >= MAX_YOUNG_RUN_AGE;
-            if lives && view.health.has_failed_before(began) {
+            let survives = confirmed && m.now.since(began) >= MAX_YOUNG_RUN_AGE;
+            if survives && view.health.has_failed_before(began) {
                 self.record_run_done(m, id, began);
             }
         }
     }
 
     /// Returns whether a worker is deprioritised.
-    fn is_spared(&self, m: Moment, worker: &Worker, view: &WorkerView) -> bool {
-        let record = &view.health;
-        record.is_quarantined(m.now)
-            || record.is_slow(m.now)
+    fn is_deprioritised(&self, m: Moment, worker: &Worker, view: &WorkerView) -> bool {
+        let health = &view.health;
+        health.is_quarantined(m.now)
+            || health.is_slow(m.now)
             || self.silent_zones.contains(&worker.info.zone)
     }
 
@@ -337,53 +340,55 @@
         let may_try =
             || !view.health.is_on_probation(m.now) || view.health.may_try(m.now, last_began());
         match eligibility {
-            Eligibility::Preferred => !self.is_spared(m, worker, view) && may_try(),
+            Eligibility::Preferred => !self.is_deprioritised(m, worker, view) && may_try(),
             Eligibility::Deprioritised => may_try(),
             Eligibility::All => true,
         }
     }
 
-    /// Determines whether any worker that could take work is deprioritised. If none is, plans need not
-    /// scan all workers for each step. Without this a leader that has no contact to any worker yet
-    /// would do so for every waiting step, and have no time left to process their answers.
+    /// Determines whether any worker that could take work is deprioritised. If none is, plans need
+    /// not scan all workers for each step. Without this a leader that has no contact to any worker
+    /// yet would do so for every waiting step, and have no time left to process their answers.
     pub(crate) fn find_deprioritised(&mut self, m: Moment) {
-        let is_marked = |id: &WorkerId, view: &WorkerView| {
-            let spared = |w: &Worker| self.is_spared(m, w, view);
-            view.health.is_on_probation(m.now) || self.replicated.worker(id).is_some_and(spared)
+        let is_restricted = |id: &WorkerId, view: &WorkerView| {
+            let is_deprioritised = |w: &Worker| self.is_deprioritised(m, w, view);
+            view.health.is_on_probation(m.now)
+                || self.replicated.worker(id).is_some_and(is_deprioritised)
         };
-        let spared = |(id, view): (&WorkerId, &WorkerView)| view.is_usable() && is_marked(id, view);
-        self.plan_state.any_deprioritised = self.worker_views.iter().any(spared);
+        let is_affected =
+            |(id, view): (&WorkerId, &WorkerView)| view.is_usable() && is_restricted(id, view);
+        self.plan_state.any_deprioritised = self.worker_views.iter().any(is_affected);
     }
 
-    /// Returns the workers that a step may go to. Deprioritised workers are excluded only while another
-    /// one may run the step, whatever capacity it has free, and none of the step's long-running
-    /// tasks is overdue: a failed try costs such a task nothing.
+    /// Returns the workers that a step may go to. Deprioritised workers are excluded only while
+    /// another one may run the step, whatever capacity it has free, and none of the step's
+    /// long-running tasks is overdue: a failed try costs such a task nothing.
     pub(crate) fn eligibility(
         &self,
         m: Moment,
         key: &StepKey,
         spec: &StepSpec,
-        turn: PlanPass,
-        by_advice: bool,
+        pass: PlanPass,
+        needs_advice: bool,
     ) -> Eligibility {
         let Some(job) = self.replicated.job(key.job) else { return Eligibility::Preferred };
-        if turn == PlanPass::Overdue {
+        if pass == PlanPass::Overdue {
             return Eligibility::All;
         }
         if !self.plan_state.any_deprioritised {
             return Eligibility::Preferred;
         }
-        let disallowed = if by_advice { self.advice_scheduler.disallowed(key) } else { None };
-        let is_good = |(id, view): (&WorkerId, &WorkerView)| {
-            let open = disallowed.is_none_or(|b| !b.contains(id));
-            let worker = if open { self.replicated.worker(id) } else { None };
+        let disallowed = if needs_advice { self.advice_scheduler.disallowed(key) } else { None };
+        let is_preferred = |(id, view): (&WorkerId, &WorkerView)| {
+            let may_be_allowed = disallowed.is_none_or(|b| !b.contains(id));
+            let worker = if may_be_allowed { self.replicated.worker(id) } else { None };
             worker.is_some_and(|w| {
                 self.is_suitable(m, Eligibility::Preferred, &job.service, spec, w, view)
                     && !view.health.is_on_probation(m.now)
                     && spec.size.fits(&w.info.capacity)
             })
         };
-        match self.worker_views.iter().any(is_good) {
+        match self.worker_views.iter().any(is_preferred) {
             true => Eligibility::Preferred,
             false => Eligibility::Deprioritised,
         }
