--- a/components/dispatch/src/long_running_waits.rs
+++ b/components/dispatch/src/long_running_waits.rs
@@ -37,7 +37,7 @@
     /// The long-running steps of unfinished jobs, by their index in the job.
     jobs: BTreeMap<JobId, Vec<u32>>,
     /// The jobs of these that have rounds: a round becomes due without any change.
-    timed: BTreeSet<JobId>,
+    recurring: BTreeSet<JobId>,
     /// The jobs that have changed since the last update.
     changed: BTreeSet<JobId>,
     waiting: BTreeMap<StepKey, Waiting>,
@@ -46,15 +46,15 @@
 impl LongRunningWaits {
     /// Adds an unfinished job, if any of its steps is long-running.
     pub(crate) fn add_job(&mut self, id: JobId, spec: &JobSpec) {
-        let lasting = (0..).zip(&spec.steps).filter(|(_, s)| s.long_running);
-        let steps: Vec<u32> = lasting.map(|(step, _)| step).collect();
+        let long_running_steps = (0..).zip(&spec.steps).filter(|(_, s)| s.long_running);
+        let steps: Vec<u32> = long_running_steps.map(|(step, _)| step).collect();
         if steps.is_empty() {
             return;
         }
         self.jobs.insert(id, steps);
         self.changed.insert(id);
         if spec.rounds > 0 {
-            self.timed.insert(id);
+            self.recurring.insert(id);
         }
     }
 
@@ -63,19 +63,19 @@
     pub(crate) fn record_change(&mut self, command: &Command, replicated: &ReplicatedState) {
         match command {
             Command::Submit { id, spec, .. } => self.add_job(*id, spec),
-            Command::Cancel { id, .. } => self.note_changed(*id),
+            Command::Cancel { id, .. } => self.record_job_changed(*id),
             Command::Started { runs, .. } | Command::NotStarted { runs, .. } => {
-                runs.iter().for_each(|(task, _)| self.note_changed(task.step.job));
+                runs.iter().for_each(|(task, _)| self.record_job_changed(task.step.job));
             }
             Command::Ended { ends, .. } => {
-                ends.iter().for_each(|end| self.note_changed(end.task.step.job));
+                ends.iter().for_each(|end| self.record_job_changed(end.task.step.job));
             }
             // A crash may also end jobs whose runs had lapsed there before.
             Command::WorkerGone { worker, .. }
             | Command::Lapsed { worker, .. }
             | Command::WorkerCrashed { worker, .. }
             | Command::WorkerLost { worker, .. } => {
-                replicated.jobs_on(worker).into_iter().for_each(|job| self.note_changed(job));
+                replicated.jobs_on(worker).into_iter().for_each(|job| self.record_job_changed(job));
             }
             Command::Configure(_)
             | Command::WorkerJoined(_)
@@ -89,7 +89,7 @@
         }
     }
 
-    fn note_changed(&mut self, job: JobId) {
+    fn record_job_changed(&mut self, job: JobId) {
         if self.jobs.contains_key(&job) {
             self.changed.insert(job);
         }
@@ -98,12 +98,12 @@
     /// Determines which tasks wait now, and drops the jobs that have ended.
     pub(crate) fn update(&mut self, m: Moment, replicated: &ReplicatedState) {
         let mut jobs = std::mem::take(&mut self.changed);
-        jobs.extend(&self.timed);
+        jobs.extend(&self.recurring);
         jobs.extend(self.waiting.keys().map(|key| key.job));
-        let mut before = std::mem::take(&mut self.waiting);
+        let mut previous_waits = std::mem::take(&mut self.waiting);
         for id in jobs {
             match replicated.job(id).filter(|j| !j.state.is_final()) {
-                Some(job) => self.update_job(m, replicated, (id, job), &mut before),
+                Some(job) => self.update_job(m, replicated, (id, job), &mut previous_waits),
                 None => self.drop_job(id),
             }
         }
@@ -114,7 +114,7 @@
         m: Moment,
         replicated: &ReplicatedState,
         (id, job): (JobId, &Job),
-        before: &mut BTreeMap<StepKey, Waiting>,
+        previous_waits: &mut BTreeMap<StepKey, Waiting>,
     ) {
         let Some(steps) = self.jobs.get(&id) else { return };
         for key in due_steps(m, id, job, steps) {
@@ -123,8 +123,8 @@
             else {
                 continue;
             };
-            let known = before.remove(&key).unwrap_or_default();
-            let since = |i: u32| known.get(&i).map_or(m.now, |w| w.since);
+            let previous = previous_waits.remove(&key).unwrap_or_default();
+            let since = |i: u32| previous.get(&i).map_or(m.now, |w| w.since);
             let has_run = |i: u32| step.tasks.get(i as usize).is_some_and(|t| t.run > 0);
             let wait = |i: u32| Wait { since: since(i), has_run: has_run(i) };
             let waiting: Waiting = step.waiting().map(|i| (i, wait(i))).collect();
@@ -134,7 +134,7 @@
 
     fn drop_job(&mut self, id: JobId) {
         self.jobs.remove(&id);
-        self.timed.remove(&id);
+        self.recurring.remove(&id);
     }
 
     /// Returns the task of a step that has waited longest, and since when.
--- a/components/dispatch/src/slack.rs
+++ b/components/dispatch/src/slack.rs
@@ -13,10 +13,10 @@
     /// no longer configured has no slack.
     pub(crate) fn slack(&self, m: Moment, key: &StepKey) -> Millis {
         let Some(job) = self.replicated.job(key.job) else { return Millis::ZERO };
-        let Some(allowed) = self.allowed(job) else { return Millis::ZERO };
+        let Some(allowed_time) = self.allowed_time(job) else { return Millis::ZERO };
         let Some(round) = job.rounds.get(key.round as usize) else { return Millis::ZERO };
-        let left = job.spec.critical_path(|i| !round.steps[i].is_done());
-        allowed.since(self.age(m, key, job) + left)
+        let remaining = job.spec.critical_path(|i| !round.steps[i].is_done());
+        allowed_time.since(self.age(m, key, job) + remaining)
     }
 
     /// Returns how long a round of a job could have run for. The acceptance of a job is taken by
@@ -31,10 +31,10 @@
     }
 
     /// Returns how long a round of a job may take and be in time.
-    fn allowed(&self, job: &Job) -> Option<Millis> {
+    fn allowed_time(&self, job: &Job) -> Option<Millis> {
         let queue = self.policy.as_ref()?.queue(&job.queue)?;
-        let chain = job.spec.critical_path(|_| true);
-        Some(Millis((chain.0 as f64 * queue.stretch) as u64) + queue.target_latency)
+        let path = job.spec.critical_path(|_| true);
+        Some(Millis((path.0 as f64 * queue.stretch) as u64) + queue.target_latency)
     }
 
     /// Returns the sort key of a waiting step, lowest first: the most urgent priority by itself,
--- a/components/dispatch/src/step_selection.rs
+++ b/components/dispatch/src/step_selection.rs
@@ -12,10 +12,10 @@
 
 /// The number of most urgent steps that every plan examines. It bounds the time of a plan when far
 /// more waits than can run.
-const MOST_URGENT: usize = 200;
+const MAX_URGENT_STEPS: usize = 200;
 /// The number of steps behind those that a plan examines. With 20 plans a second each of 1,000 such
 /// steps is examined every second, for a quarter of a plan's time more.
-const BY_TURNS: usize = 50;
+const MAX_ROTATION_STEPS: usize = 50;
 
 /// Whether a step may start now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
 /// The position of the rotation through the steps behind the most urgent ones.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StepSelector {
-    last_turn: Option<OpenStep>,
+    last_in_rotation: Option<OpenStep>,
 }
 
 /// The steps that a plan examines.
@@ -52,34 +52,38 @@
         open: &BTreeSet<OpenStep>,
         readiness: impl Fn(&StepKey) -> Readiness,
     ) -> SelectedSteps {
-        let mut due = DueSteps { open, readiness, from: Bound::Unbounded, skipped: 0 };
-        let urgent: Vec<OpenStep> = due.by_ref().take(MOST_URGENT).collect();
-        let Some(last_urgent) = urgent.last().copied().filter(|_| urgent.len() == MOST_URGENT)
+        let mut startable = StartableSteps { open, readiness, from: Bound::Unbounded, skipped: 0 };
+        let urgent: Vec<OpenStep> = startable.by_ref().take(MAX_URGENT_STEPS).collect();
+        let Some(last_urgent) = urgent.last().copied().filter(|_| urgent.len() == MAX_URGENT_STEPS)
         else {
-            self.last_turn = None;
-            return SelectedSteps { urgent, in_rotation: Vec::new(), skipped: due.skipped };
+            self.last_in_rotation = None;
+            return SelectedSteps { urgent, in_rotation: Vec::new(), skipped: startable.skipped };
         };
-        let behind = self.last_turn.filter(|t| *t > last_urgent).unwrap_or(last_urgent);
-        due.from = Bound::Excluded(behind);
-        let mut in_rotation: Vec<OpenStep> = due.by_ref().take(BY_TURNS).collect();
+        let rotation_start =
+            self.last_in_rotation.filter(|t| *t > last_urgent).unwrap_or(last_urgent);
+        startable.from = Bound::Excluded(rotation_start);
+        let mut in_rotation: Vec<OpenStep> = startable.by_ref().take(MAX_ROTATION_STEPS).collect();
         // The rotation restarts behind the most urgent steps.
-        due.from = Bound::Excluded(last_urgent);
-        let anew = due.by_ref().take_while(|e| *e <= behind).take(BY_TURNS - in_rotation.len());
-        in_rotation.extend(anew);
-        self.last_turn = in_rotation.last().copied();
-        SelectedSteps { urgent, in_rotation, skipped: due.skipped }
+        startable.from = Bound::Excluded(last_urgent);
+        let wrapped = startable
+            .by_ref()
+            .take_while(|e| *e <= rotation_start)
+            .take(MAX_ROTATION_STEPS - in_rotation.len());
+        in_rotation.extend(wrapped);
+        self.last_in_rotation = in_rotation.last().copied();
+        SelectedSteps { urgent, in_rotation, skipped: startable.skipped }
     }
 }
 
 /// An iterator over the open steps that may start.
-struct DueSteps<'a, F> {
+struct StartableSteps<'a, F> {
     open: &'a BTreeSet<OpenStep>,
     readiness: F,
     from: Bound<OpenStep>,
     skipped: u64,
 }
 
-impl<F: Fn(&StepKey) -> Readiness> Iterator for DueSteps<'_, F> {
+impl<F: Fn(&StepKey) -> Readiness> Iterator for StartableSteps<'_, F> {
     type Item = OpenStep;
 
     fn next(&mut self) -> Option<OpenStep> {
@@ -91,7 +95,7 @@
                     return Some(entry);
                 }
                 Readiness::NotDue => {
-                    self.from = Bound::Included(first_of(entry.priority, entry.order + 1));
+                    self.from = Bound::Included(before_job(entry.priority, entry.order + 1));
                 }
                 Readiness::AtLimit => self.from = Bound::Excluded(entry),
             }
@@ -102,7 +106,7 @@
 
 /// Returns an entry that sorts before all steps of the job at a position in the order of
 /// acceptance.
-fn first_of(priority: u8, order: u64) -> OpenStep {
+fn before_job(priority: u8, order: u64) -> OpenStep {
     let key = StepKey { job: JobId(0), round: 0, step: 0 };
     OpenStep { priority, order, key }
 }
--- a/components/dispatch/src/wait_logging.rs
+++ b/components/dispatch/src/wait_logging.rs
@@ -12,15 +12,15 @@
 use crate::long_running_waits::LongRunningWaits;
 
 /// The time over which [`MAX_WAIT_LINES_PER_SECOND`] is counted.
-const A_SECOND: Millis = Millis(1_000);
+const RATE_WINDOW: Millis = Millis(1_000);
 
 /// Which waiting steps are logged, and when they were logged last.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WaitLogger {
     /// When each step was last logged.
-    told: BTreeMap<StepKey, Millis>,
+    logged_at: BTreeMap<StepKey, Millis>,
     /// When the log lines of the last second were written.
-    lately: VecDeque<Millis>,
+    recent_lines: VecDeque<Millis>,
     /// The steps that the current plan still has to log.
     due: BTreeSet<StepKey>,
 }
@@ -29,30 +29,30 @@
     /// Chooses the steps that the plan that begins is to log: first those that were never logged or
     /// not for the longest time, so that they rotate if there are more of them than lines.
     pub(crate) fn choose(&mut self, now: Millis, waits: &LongRunningWaits) {
-        self.lately.retain(|at| now.since(*at) < A_SECOND);
-        let told_lately = |at: &Millis| now.since(*at) < WAIT_LOG_INTERVAL;
-        self.told.retain(|key, at| told_lately(at) || waits.since(key).is_some());
+        self.recent_lines.retain(|at| now.since(*at) < RATE_WINDOW);
+        let logged_recently = |at: &Millis| now.since(*at) < WAIT_LOG_INTERVAL;
+        self.logged_at.retain(|key, at| logged_recently(at) || waits.since(key).is_some());
         let mut due: Vec<(Option<Millis>, Millis, StepKey)> = waits
             .steps()
             .filter(|(_, since)| now.since(*since) >= MIN_LOGGED_WAIT)
-            .map(|(key, since)| (self.told.get(key).copied(), since, *key))
-            .filter(|(told, ..)| !told.as_ref().is_some_and(told_lately))
+            .map(|(key, since)| (self.logged_at.get(key).copied(), since, *key))
+            .filter(|(logged_at, ..)| !logged_at.as_ref().is_some_and(logged_recently))
             .collect();
         due.sort_unstable();
-        let most = MAX_WAIT_LINES_PER_SECOND.saturating_sub(self.lately.len());
-        self.due = due.into_iter().take(most).map(|(.., key)| key).collect();
+        let remaining_lines = MAX_WAIT_LINES_PER_SECOND.saturating_sub(self.recent_lines.len());
+        self.due = due.into_iter().take(remaining_lines).map(|(.., key)| key).collect();
     }
 
-    fn note_told(&mut self, now: Millis, key: StepKey) {
-        self.told.insert(key, now);
-        self.lately.push_back(now);
+    fn record_logged(&mut self, now: Millis, key: StepKey) {
+        self.logged_at.insert(key, now);
+        self.recent_lines.push_back(now);
     }
 }
 
 impl Dispatcher {
-    /// Logs that a step has waited for long, if it is due now; `looked` says whether the current
+    /// Logs that a step has waited for long, if it is due now; `examined` says whether the current
     /// plan has reached the step.
-    pub(crate) fn log_wait(&mut self, m: Moment, key: &StepKey, looked: bool) {
+    pub(crate) fn log_wait(&mut self, m: Moment, key: &StepKey, examined: bool) {
         if !self.wait_logger.due.remove(key) {
             return;
         }
@@ -67,21 +67,21 @@
         if m.now.since(since) < MIN_LOGGED_WAIT {
             return;
         }
-        let held_back = waiting.len() - self.may_start_of(m, key, &waiting);
+        let held_back = waiting.len() - self.startable_tasks(m, key, &waiting);
         let details = format!(
             "since_ms={} tasks={} held_back={held_back} looked={} {}{}",
             m.now.since(since).0,
             waiting.len(),
-            if looked { "yes" } else { "no" },
+            if examined { "yes" } else { "no" },
             self.wait_reasons(m, task),
             if self.is_at_limit(key) { " at_limit=yes" } else { "" },
         );
-        self.wait_logger.note_told(m.now, *key);
+        self.wait_logger.record_logged(m.now, *key);
         self.log_event(&kinds::TASK_WAITS, task, details);
     }
 
     /// Returns how many tasks of a step are not held back as suspects.
-    fn may_start_of(&self, m: Moment, key: &StepKey, waiting: &[(TaskKey, Millis)]) -> usize {
+    fn startable_tasks(&self, m: Moment, key: &StepKey, waiting: &[(TaskKey, Millis)]) -> usize {
         let Some(spec) = self.replicated.step_spec(key) else { return 0 };
         let waiting = waiting.iter().map(|(task, _)| task.index).collect();
         self.may_start(m, key, spec, waiting).len()
