--- a/components/dispatch/src/limits.rs
+++ b/components/dispatch/src/limits.rs
@@ -84,14 +84,14 @@
 /// Added to the end of a lease before its tasks are considered gone, because stopping them takes a
 /// moment.
 pub(crate) const LEASE_EXPIRY_MARGIN: Millis = Millis(300);
-/// How long a renewal waits at a worker that runs something. The lease is renewed, and the progress
-/// of its tasks read, at least this often.
+/// The minimum time for which a renewal waits at a worker that runs something. In a small fleet the
+/// lease is renewed, and the progress of its tasks read, at least this often.
 const MIN_BUSY_RENEWAL_WAIT: Millis = Millis(500);
-/// By how many milliseconds each worker extends that wait. The leader's processor bounds how many
-/// answers it can process in a second, and the end of a run is reported immediately whatever the
-/// wait.
+/// The time per worker of the fleet, in milliseconds, for which a renewal waits in a larger fleet.
+/// The leader's processor bounds how many answers it can process in a second, and the end of a run
+/// is reported immediately whatever the wait.
 const BUSY_RENEWAL_WAIT_PER_WORKER_MS: u64 = 4;
-/// The upper bound of that wait. The lease must be renewed well before it ends.
+/// The maximum time for which a renewal waits there. The lease must be renewed well before it ends.
 pub(crate) const MAX_BUSY_RENEWAL_WAIT: Millis = Millis(1_500);
 
 /// Returns how long a renewal waits at a worker that runs something, in a fleet of `workers`
@@ -103,9 +103,9 @@
 
 /// How long a renewal waits at a worker that runs nothing: the longest wait that workers allow.
 pub(crate) const IDLE_RENEWAL_WAIT: Millis = Millis(2_000);
-/// The pause before an unanswered renewal is sent again to a worker that has answered before.
+/// The pause before an unanswered renewal is sent again to a worker that is in contact.
 pub(crate) const RENEWAL_RETRY_IN_CONTACT: Millis = Millis(20);
-/// The pause before an unanswered renewal is sent again to a worker that has not answered before.
+/// The pause before an unanswered renewal is sent again to a worker that is not in contact.
 pub(crate) const RENEWAL_RETRY_NO_CONTACT: Millis = Millis(250);
 /// The shortest timeout for the answer to a start or stop. Answers come within some milliseconds,
 /// or some tens of milliseconds where the end of a run waits for its processor share.
@@ -155,7 +155,7 @@
 /// Added to that time for the way there and back and for waits for a processor share at either end.
 pub(crate) const ADVICE_OVERDUE_MARGIN: Millis = Millis(200);
 /// How long a step lacks a call for advice, while half-empty workers might run it, before it is
-/// placed first. A call takes half a second, and nothing is to make no progress for three.
+/// placed first. A call takes half a second, and no step is to wait for three seconds.
 pub(crate) const ADVICE_AGED_AFTER: Millis = Millis(1_000);
 /// The maximum number of such steps that a plan places first.
 pub(crate) const MAX_AGED_STEPS: usize = 4;
@@ -298,8 +298,8 @@
 /// The minimum probability that a run's worker is lost at the observed rate of losses for that rate
 /// to excuse the loss. Below it a fault is the likelier cause.
 pub(crate) const MIN_CHANCE_TO_EXCUSE: f64 = 0.5;
-/// The probability that chance has hit a run at which the loss of its worker counts fully against
-/// it.
+/// The maximum probability that chance has hit a run for the loss of its worker to count fully
+/// against it.
 pub(crate) const MAX_CHANCE_FOR_FULL_WEIGHT: f64 = 0.01;
 /// The minimum number of tasks that crashed their workers for a step to count as faulty as a whole.
 /// With fewer, starting them all takes down at most as many workers, and no healthy job is delayed
@@ -325,5 +325,5 @@
 pub(crate) const MAX_WAIT_LINES_PER_SECOND: usize = 5;
 /// The minimum interval between log lines about calls that show no organisation's key.
 pub(crate) const KEY_REFUSED_LOG_INTERVAL: Millis = Millis(1_000);
-/// When callers that could not be served are told to retry.
+/// The time after which callers that could not be served may retry.
 pub(crate) const CALLER_RETRY_AFTER: Millis = Millis(300);
