--- a/components/dispatch/src/limits.rs
+++ b/components/dispatch/src/limits.rs
@@ -84,14 +84,14 @@
 /// Added to the end of a lease before its tasks are considered gone, because stopping them takes a
 /// moment.
 pub(crate) const LEASE_EXPIRY_MARGIN: Millis = Millis(300);
-/// How long a renewal waits at a worker that runs something. The lease is renewed, and the progress
-/// of its tasks read, at least this often.
+/// The minimum time for which a renewal waits at a worker that runs something. In a small fleet the
+/// lease is renewed, and the progress of its tasks read, at least this often.
 const MIN_BUSY_RENEWAL_WAIT: Millis = Millis(500);
-/// By how many milliseconds each worker extends that wait. The leader's processor bounds how many
-/// answers it can process in a second, and the end of a run is reported immediately whatever the
-/// wait.
+/// The time per worker of the fleet, in milliseconds, for which a renewal waits in a larger fleet.
+/// The leader's processor bounds how many answers it can process in a second, and the end of a run
+/// is reported immediately whatever the wait.
 const BUSY_RENEWAL_WAIT_PER_WORKER_MS: u64 = 4;
-/// The upper bound of that wait. The lease must be renewed well before it ends.
+/// The maximum time for which a renewal waits there. The lease must be renewed well before it ends.
 pub(crate) const MAX_BUSY_RENEWAL_WAIT: Millis = Millis(1_500);
 
 /// Returns how long a renewal waits at a worker that runs something, in a fleet of `workers`
@@ -103,9 +103,9 @@
 
 /// How long a renewal waits at a worker that runs nothing: the longest wait that workers allow.
 pub(crate) const IDLE_RENEWAL_WAIT: Millis = Millis(2_000);
-/// The pause before an unanswered renewal is sent again to a worker that has answered before.
+/// The pause before an unanswered renewal is sent again to a worker that is in contact.
 pub(crate) const RENEWAL_RETRY_IN_CONTACT: Millis = Millis(20);
-/// The pause before an unanswered renewal is sent again to a worker that has not answered before.
+/// The pause before an unanswered renewal is sent again to a worker that is not in contact.
 pub(crate) const RENEWAL_RETRY_NO_CONTACT: Millis = Millis(250);
 /// The shortest timeout for the answer to a start or stop. Answers come within some milliseconds,
 /// or some tens of milliseconds where the end of a run waits for its processor share.
@@ -155,7 +155,7 @@
 /// Added to that time for the way there and back and for waits for a processor share at either end.
 pub(crate) const ADVICE_OVERDUE_MARGIN: Millis = Millis(200);
 /// How long a step lacks a call for advice, while half-empty workers might run it, before it is
-/// placed first. A call takes half a second, and nothing is to make no progress for three.
+/// placed first. A call takes half a second, and no step is to wait for three seconds.
 pub(crate) const ADVICE_AGED_AFTER: Millis = Millis(1_000);
 /// The maximum number of such steps that a plan places first.
 pub(crate) const MAX_AGED_STEPS: usize = 4;
@@ -184,7 +184,8 @@
 pub(crate) const ADVICE_CAPACITY_FACTOR: f64 = 1.5;
 /// The minimum number of workers that a first call names.
 pub(crate) const ADVICE_MIN_WORKERS: usize = 10;
-/// The part of a long call's fixed time that it may spend at least on the workers that it names.
+/// The minimum time that a long call may spend on the workers that it names, as a fraction of its
+/// base time.
 pub(crate) const ADVICE_NAMED_FRACTION: f64 = 0.5;
 /// The number of jobs with consecutive failed runs from which a worker may be quarantined.
 pub(crate) const MIN_FAILED_JOBS_FOR_QUARANTINE: usize = 2;
@@ -200,8 +201,8 @@
 /// run that fails does so immediately, and an answer takes tenths of a second.
 pub(crate) const QUARANTINE_RETRY: Millis = Millis(1_000);
 /// The maximum wait of a long-running task among other work before it is placed first. A call for
-/// advice takes half a second of it. Long-running tasks are few beside the others, which this
-/// delays by a tenth of a second.
+/// advice takes half a second of it. Long-running tasks are few compared with the others, which are
+/// delayed by a tenth of a second by this.
 pub(crate) const MAX_LONG_RUNNING_WAIT: Millis = Millis(1_000);
 /// The same maximum wait for a task that has never run. Nothing is lost by its wait yet, so it
 /// waits among the others for as long as its first start may take and still meet the deadline. On a
@@ -220,8 +221,8 @@
 pub(crate) const OVERDUE_ROTATION_INTERVAL: Millis = Millis(1_000);
 /// How long a worker is quarantined the first time. It is doubled each further time.
 pub(crate) const QUARANTINE_TIME: Millis = Millis(4_000);
-/// The maximum number of doublings. Without a try nothing shows that a worker is healthy again, and
-/// a job may be able to run nowhere else.
+/// The maximum number of doublings. A longer quarantine delays the next try, without which nothing
+/// shows that the worker is healthy again, and a job may be able to run nowhere else.
 pub(crate) const MAX_QUARANTINE_DOUBLINGS: u32 = 1;
 /// The divisor of the largest worker's capacity from which a task counts as large, so that capacity
 /// is reserved for it. A smaller task fits into what the end of any run frees.
@@ -229,9 +230,9 @@
 /// The maximum number of steps waiting for the same workers for which a plan reserves capacity.
 /// Each scans all workers, and later steps rarely find one that is not reserved already.
 pub(crate) const MAX_RESERVATIONS: u32 = 20;
-/// The divisor that limits idle reserved capacity: one in this many parts of the capacity of all
-/// eligible workers. With a quarter, a fleet that is less than half full has as much again for
-/// other work.
+/// The divisor that limits the capacity reserved idle for waiting large tasks: at most one part in
+/// this many of the total capacity of the eligible workers. With a quarter, a fleet that is less
+/// than half full has as much again for other work.
 pub(crate) const MAX_RESERVED_DIVISOR: u64 = 4;
 /// The slack that a job must have for one of its runs to be preempted: the stop, a call for advice,
 /// the restart from its checkpoint, and a wait for capacity as long as a batch task runs.
@@ -279,8 +280,8 @@
 /// The maximum time between workers that fall silent together. A renewal that waits shows a network
 /// cut up to two seconds later than a start or stop does.
 pub(crate) const SIMULTANEOUS_SILENCE_WINDOW: Millis = Millis(2_500);
-/// The divisor of all workers that must fall silent together: at least one in this many. Some fall
-/// silent at any time in a large fleet.
+/// The divisor of the number of all workers that gives how many must fall silent together to count
+/// as such. Some fall silent at any time in a large fleet.
 pub(crate) const SIMULTANEOUS_SILENCE_DIVISOR: usize = 100;
 /// The maximum fraction of all workers that faulty tasks take down in a second, as each is
 /// identified after three or four.
@@ -298,8 +299,8 @@
 /// The minimum probability that a run's worker is lost at the observed rate of losses for that rate
 /// to excuse the loss. Below it a fault is the likelier cause.
 pub(crate) const MIN_CHANCE_TO_EXCUSE: f64 = 0.5;
-/// The probability that chance has hit a run at which the loss of its worker counts fully against
-/// it.
+/// The maximum probability that chance has hit a run for the loss of its worker to count fully
+/// against it.
 pub(crate) const MAX_CHANCE_FOR_FULL_WEIGHT: f64 = 0.01;
 /// The minimum number of tasks that crashed their workers for a step to count as faulty as a whole.
 /// With fewer, starting them all takes down at most as many workers, and no healthy job is delayed
@@ -325,5 +326,5 @@
 pub(crate) const MAX_WAIT_LINES_PER_SECOND: usize = 5;
 /// The minimum interval between log lines about calls that show no organisation's key.
 pub(crate) const KEY_REFUSED_LOG_INTERVAL: Millis = Millis(1_000);
-/// When callers that could not be served are told to retry.
+/// The time after which callers that could not be served may retry.
 pub(crate) const CALLER_RETRY_AFTER: Millis = Millis(300);
