--- a/components/node/src/advising.rs
+++ b/components/node/src/advice_calls.rs
@@ -23,7 +23,7 @@
     call: AdviceCall,
     hand_on: impl FnOnce(InstanceId, Message) + 'static,
 ) {
-    let asked = ports.advice.ask(call.step, call.workers);
+    let asked = ports.advice.request(call.step, call.workers);
     ntex::rt::spawn(async move {
         let advice = asked.await;
         let valid = advice.as_ref().and_then(|a| a.valid);
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -14,22 +14,22 @@
 use transport::{Links, Packet};
 use workload::PolicyReader;
 
-use crate::advising::{AdviceCall, spawn_advice};
-use crate::away::{AwayWatch, tell_absence};
+use crate::advice_calls::{AdviceCall, spawn_advice};
 use crate::control_event::ControlEvent;
-use crate::gate::{Arrival, Gate, Signal};
 use crate::leader_term::LeaderTerm;
-use crate::leaving::LeavingWaits;
-use crate::linking::{begin_stop, sync_links, tell_leader, tell_reload, tell_unreadable};
+use crate::leaving_workers::LeavingAcknowledgements;
 use crate::log_thread::{LogEvent, LogHandle, LogInput};
 use crate::message::Message;
+use crate::node_handle::{Arrival, NodeHandle, Signal};
 use crate::peers::Peers;
+use crate::pending_calls::Waiters;
 use crate::ports::Ports;
-use crate::recent_news::RecentNews;
+use crate::recent_announcements::RecentAnnouncements;
 use crate::relay::{Relay, RelayAction};
+use crate::role_support::{begin_stop, sync_links, tell_leader, tell_reload, tell_unreadable};
 use crate::settings::NodeSettings;
+use crate::stall_detection::{StallDetector, log_stall};
 use crate::timing::{LAST_ANSWERS, READ_SETTINGS_EVERY, TICK};
-use crate::waiters::Waiters;
 
 /// How often the gauges are set.
 const MEASURE_EVERY: Millis = Millis(1_000);
@@ -41,7 +41,7 @@
 pub(crate) struct Control {
     pub(crate) settings: NodeSettings,
     pub(crate) clock: Arc<SystemClock>,
-    pub(crate) away: AwayWatch,
+    pub(crate) away: StallDetector,
     pub(crate) links: Arc<Links>,
     pub(crate) log: LogHandle,
     pub(crate) peers: Peers,
@@ -50,11 +50,11 @@
     pub(crate) metrics: Arc<Registry>,
     pub(crate) ports: Ports,
     pub(crate) reader: Arc<dyn PolicyReader>,
-    pub(crate) gate: Gate,
+    pub(crate) handle: NodeHandle,
     pub(crate) events: UnboundedSender<ControlEvent>,
     pub(crate) leading: Option<LeaderTerm>,
-    pub(crate) news: RecentNews,
-    pub(crate) leaving_waits: LeavingWaits,
+    pub(crate) news: RecentAnnouncements,
+    pub(crate) leaving_waits: LeavingAcknowledgements,
     /// The instances that vote, as far as this one knows.
     pub(crate) voters: Vec<InstanceId>,
     pub(crate) stops_at: Option<Millis>,
@@ -86,8 +86,8 @@
             }
             if self.clock.now() >= self.tick_at {
                 let now = self.clock.now();
-                let absence = self.away.look(now, || self.clock.suspended());
-                absence.inspect(|a| tell_absence(&self.settings.name, a));
+                let absence = self.away.check(now, || self.clock.suspended());
+                absence.inspect(|a| log_stall(&self.settings.name, a));
                 self.tick_at = now + TICK;
                 self.tend();
             }
@@ -136,10 +136,10 @@
         let now = self.clock.now();
         match arrival {
             Arrival::Call { call, patience, tx } => {
-                let token = self.relay.take(now, call.clone(), patience);
+                let token = self.relay.accept(now, call.clone(), patience);
                 self.waiters.add(token, now, &call, tx);
             }
-            Arrival::News(news) => self.on_news(news, true),
+            Arrival::Announcement(news) => self.on_news(news, true),
             Arrival::Leaving { news, tx } => {
                 let (worker, number) = (news.info.id.clone(), news.number);
                 self.leaving_waits.add(worker.clone(), number, tx);
@@ -155,7 +155,7 @@
             }
             Arrival::Signal(Signal::Reload) => self.read_settings(now),
             Arrival::Signal(Signal::Stop) => {
-                begin_stop(&self.settings, &self.gate);
+                begin_stop(&self.settings, &self.handle);
                 self.log.send(LogInput::HandOver);
                 self.stops_at.get_or_insert(now + STOP_AFTER);
             }
@@ -175,7 +175,7 @@
     fn on_news(&mut self, news: dispatch::WorkerAnnouncement, direct: bool) {
         if direct {
             self.news.add(self.clock.now(), news.clone());
-            self.to_leader(Message::News(news.clone()));
+            self.to_leader(Message::Announcement(news.clone()));
         }
         self.feed(Input::Announcement(news));
     }
@@ -202,10 +202,10 @@
                 tell(&kinds::TERM_ENDED, &self.settings.name, &format!("term={term} why={why:?}"));
                 self.leading = None;
                 self.forget_services();
-                self.peers.unfollow(&self.settings.id());
+                self.peers.clear_leader(&self.settings.id());
             }
             LogEvent::Leader { term, leader } => {
-                if self.peers.follow(leader.clone(), term, now) {
+                if self.peers.update_leader(leader.clone(), term, now) {
                     tell_leader(&leader, term);
                     self.relay.leader_changed(now);
                     self.retell_news();
@@ -229,7 +229,7 @@
     /// Tells a new leader what workers have announced here.
     fn retell_news(&self) {
         for news in self.news.fresh(self.clock.now()) {
-            self.to_leader(Message::News(news));
+            self.to_leader(Message::Announcement(news));
         }
     }
 
@@ -240,18 +240,18 @@
             Some(l) => l.term,
             None => self.peers.term(),
         };
-        let (controls, voters) = (self.peers.controls(), self.voters.clone());
+        let (controls, voters) = (self.peers.control_instances(), self.voters.clone());
         Message::Welcome { leader, term, controls, voters }
     }
 
     fn on_packet(&mut self, packet: Packet<Message>) {
         let now = self.clock.now();
         let from = packet.from;
-        self.peers.heard(&from, now);
+        self.peers.record_contact(&from, now);
         match packet.message {
             Message::Log(envelope) => {
                 if let consensus::Body::Append { term, .. } = &envelope.body {
-                    let changed = self.peers.follow(from, *term, now);
+                    let changed = self.peers.update_leader(from, *term, now);
                     if changed {
                         self.retell_news();
                         self.relay.leader_changed(now);
@@ -259,8 +259,8 @@
                 }
                 self.log.send(LogInput::Message(envelope));
             }
-            Message::Hello { disk, helps, answered } => {
-                self.peers.on_hello(&from, disk, helps, answered);
+            Message::Hello { disk, calls_advice, answered } => {
+                self.peers.on_hello(&from, disk, calls_advice, answered);
                 if let (Some(disk), Some(_)) = (disk, &self.leading) {
                     self.log.send(LogInput::Admit { id: from.clone(), disk });
                 }
@@ -278,17 +278,19 @@
                 let action = self.relay.on_answer(now, token, answer);
                 self.perform(action.into_iter().collect());
             }
-            Message::News(news) => {
+            Message::Announcement(news) => {
                 let (worker, number) = (news.info.id.clone(), news.number);
                 let leaving = news.leaving;
                 self.on_news(news, false);
                 if leaving && self.leading.is_some() {
-                    self.links.send(&from, 0, Message::LeavingTaken { worker, number });
+                    self.links.send(&from, 0, Message::LeavingAcknowledged { worker, number });
                 }
             }
-            Message::LeavingTaken { worker, number } => self.leaving_waits.taken(&worker, number),
+            Message::LeavingAcknowledged { worker, number } => {
+                self.leaving_waits.taken(&worker, number)
+            }
             Message::Left(worker) => self.feed(Input::Left(worker)),
-            Message::Ask { id, step, workers } => {
+            Message::AdviceRequest { id, step, workers } => {
                 let events = self.events.clone();
                 let call = AdviceCall { leader: from, id, step, workers };
                 // The process ends soon if nobody listens.
@@ -310,7 +312,7 @@
         sync_links(&self.links, &mut self.peers, now);
         self.news.forget_old(now);
         self.leaving_waits.forget_closed();
-        for (to, hello) in self.peers.hellos(now) {
+        for (to, hello) in self.peers.due_hellos(now) {
             self.links.send(&to, 0, hello);
         }
         if now >= self.read_at {
@@ -321,13 +323,13 @@
             self.measure_at = now + MEASURE_EVERY;
             self.measure_book();
         }
-        let mut helpers = self.peers.helpers(now);
+        let mut helpers = self.peers.advice_callers(now);
         helpers.insert(self.settings.id());
         self.feed(Input::AdviceCallers(helpers));
         self.feed(Input::Tick);
-        let actions = self.relay.tend(now, self.peers.leader(now));
+        let actions = self.relay.tick(now, self.peers.leader(now));
         self.perform(actions);
-        self.gate.set_ready(self.peers.leader(now).is_some());
+        self.handle.set_ready(self.peers.leader(now).is_some());
     }
 
     pub(crate) fn perform(&mut self, actions: Vec<RelayAction>) {
--- a/components/node/src/control_event.rs
+++ b/components/node/src/control_event.rs
@@ -5,9 +5,9 @@
 use model::InstanceId;
 use transport::Packet;
 
-use crate::gate::Arrival;
 use crate::log_thread::LogEvent;
 use crate::message::Message;
+use crate::node_handle::Arrival;
 
 /// Everything that a control instance waits for.
 pub(crate) enum ControlEvent {
--- a/components/node/src/descriptors.rs
+++ b/components/node/src/descriptors.rs
@@ -44,12 +44,12 @@
     /// Divides the limit of this process.
     pub fn of_this_process() -> Descriptors {
         let text = std::fs::read_to_string(LIMITS_FILE).unwrap_or_default();
-        Descriptors::divide(limit_in(&text).unwrap_or(USUAL_LIMIT))
+        Descriptors::divide(parse_open_file_limit(&text).unwrap_or(USUAL_LIMIT))
     }
 }
 
 /// Reads the limit in force out of the kernel's table.
-pub fn limit_in(text: &str) -> Option<usize> {
+pub fn parse_open_file_limit(text: &str) -> Option<usize> {
     let line = text.lines().find_map(|l| l.strip_prefix(LIMIT_LINE))?;
     line.split_whitespace().next()?.parse().ok()
 }
--- a/components/node/src/entry.rs
+++ b/components/node/src/entry.rs
@@ -11,19 +11,19 @@
 use tokio::time::{sleep, timeout};
 use transport::{Links, Packet};
 
-use crate::advising::{AdviceCall, spawn_advice};
-use crate::away::{AwayWatch, tell_absence};
-use crate::gate::{Arrival, Gate, Signal};
-use crate::linking::{
-    begin_stop, open_links, pass_on, sync_links, tell_leader, tell_reload, tell_unreadable,
-};
+use crate::advice_calls::{AdviceCall, spawn_advice};
 use crate::message::Message;
-use crate::peers::{Peers, PeersConfig, Reach};
+use crate::node_handle::{Arrival, NodeHandle, Signal};
+use crate::peers::{Peers, PeersConfig, Reachability};
+use crate::pending_calls::Waiters;
 use crate::ports::Ports;
 use crate::relay::{Relay, RelayAction};
+use crate::role_support::{
+    begin_stop, open_links, pass_on, sync_links, tell_leader, tell_reload, tell_unreadable,
+};
 use crate::settings::NodeSettings;
+use crate::stall_detection::{StallDetector, log_stall};
 use crate::timing::{LAST_ANSWERS, READ_SETTINGS_EVERY, TICK};
-use crate::waiters::Waiters;
 
 /// How long before the end of its grace a process that is told to stop ends by itself, so that it is
 /// never killed in the middle of an answer.
@@ -39,13 +39,13 @@
 struct Entry {
     settings: NodeSettings,
     clock: Arc<SystemClock>,
-    away: AwayWatch,
+    away: StallDetector,
     links: Arc<Links>,
     peers: Peers,
     relay: Relay,
     waiters: Waiters,
     ports: Ports,
-    gate: Gate,
+    handle: NodeHandle,
     events: UnboundedSender<Event>,
     stops_at: Option<Millis>,
     /// When the settings file is looked at next.
@@ -66,7 +66,7 @@
     reload: Box<dyn Fn() -> Option<NodeSettings>>,
 ) -> Result<()>
 where
-    F: FnOnce(Gate) -> Result<S>,
+    F: FnOnce(NodeHandle) -> Result<S>,
 {
     let clock = Arc::new(SystemClock::default());
     let (tx, rx) = unbounded_channel::<Event>();
@@ -76,17 +76,17 @@
         move |packet| drop(tx.send(Event::Packet(packet)))
     })?;
     let metrics = Arc::new(Registry::default());
-    let (gate, gate_rx) = Gate::open(metrics.clone())?;
-    let cfg = PeersConfig { id: settings.id(), disk: None, helps: true };
+    let (handle, arrivals_rx) = NodeHandle::open(metrics.clone())?;
+    let cfg = PeersConfig { id: settings.id(), disk: None, calls_advice: true };
     let entry = Entry {
         peers: Peers::new(cfg, settings.seeds.clone(), clock.now()),
         relay: Relay::new(u64::from(rand::random::<u32>())),
         waiters: Waiters::new(metrics),
-        away: AwayWatch::new(clock.now(), clock.suspended()),
+        away: StallDetector::new(clock.now(), clock.suspended()),
         clock,
         links,
         ports,
-        gate: gate.clone(),
+        handle: handle.clone(),
         events: tx.clone(),
         stops_at: None,
         read_at: Millis::ZERO,
@@ -94,8 +94,8 @@
         reload,
         settings,
     };
-    let _server = serve(gate)?;
-    ntex::rt::spawn(pass_on(gate_rx, tx, Event::Arrival));
+    let _server = serve(handle)?;
+    ntex::rt::spawn(pass_on(arrivals_rx, tx, Event::Arrival));
     entry.run(rx).await;
     Ok(())
 }
@@ -115,9 +115,9 @@
                 }
             }
             self.tend(now);
-            let absence = self.away.look(now, || self.clock.suspended());
-            absence.inspect(|a| tell_absence(&self.settings.name, a));
-            if self.stops_at.is_some_and(|t| now >= t && !self.relay.is_busy()) {
+            let absence = self.away.check(now, || self.clock.suspended());
+            absence.inspect(|a| log_stall(&self.settings.name, a));
+            if self.stops_at.is_some_and(|t| now >= t && !self.relay.has_pending()) {
                 break;
             }
         }
@@ -130,12 +130,14 @@
             Event::Packet(Ok(packet)) => self.on_packet(now, packet),
             Event::Packet(Err(e)) => tell_unreadable(&e),
             Event::Arrival(Arrival::Call { call, patience, tx }) => {
-                let token = self.relay.take(now, call.clone(), patience);
+                let token = self.relay.accept(now, call.clone(), patience);
                 self.waiters.add(token, now, &call, tx);
             }
             Event::Arrival(Arrival::Signal(signal)) => self.on_signal(now, signal),
             // Workers call control instances only.
-            Event::Arrival(Arrival::News(_) | Arrival::Leaving { .. } | Arrival::Left(_)) => {}
+            Event::Arrival(
+                Arrival::Announcement(_) | Arrival::Leaving { .. } | Arrival::Left(_),
+            ) => {}
             Event::Advised { to, message } => self.links.send(&to, 0, message),
         }
     }
@@ -144,7 +146,7 @@
         match signal {
             Signal::Reload => self.read_settings(now),
             Signal::Stop => {
-                begin_stop(&self.settings, &self.gate);
+                begin_stop(&self.settings, &self.handle);
                 let ends_at = now + self.settings.grace.since(STOP_MARGIN);
                 self.stops_at.get_or_insert(ends_at);
             }
@@ -160,7 +162,7 @@
     }
 
     fn on_packet(&mut self, now: Millis, packet: Packet<Message>) {
-        self.peers.heard(&packet.from, now);
+        self.peers.record_contact(&packet.from, now);
         match packet.message {
             Message::Welcome { leader, term, controls, voters } => {
                 self.peers.set_voters(term, voters);
@@ -173,7 +175,7 @@
                 let action = self.relay.on_answer(now, token, answer);
                 self.perform(now, action.into_iter().collect());
             }
-            Message::Ask { id, step, workers } => {
+            Message::AdviceRequest { id, step, workers } => {
                 let events = self.events.clone();
                 let call = AdviceCall { leader: packet.from, id, step, workers };
                 // The process ends soon if nobody listens.
@@ -184,8 +186,8 @@
             Message::Log(_)
             | Message::Hello { .. }
             | Message::Call { .. }
-            | Message::News(_)
-            | Message::LeavingTaken { .. }
+            | Message::Announcement(_)
+            | Message::LeavingAcknowledged { .. }
             | Message::Left(_)
             | Message::Advised { .. } => {}
         }
@@ -197,22 +199,22 @@
             self.read_at = now + READ_SETTINGS_EVERY;
             self.read_settings(now);
         }
-        for (to, hello) in self.peers.hellos(now) {
+        for (to, hello) in self.peers.due_hellos(now) {
             self.links.send(&to, 0, hello);
         }
         let reach = self.peers.reach(now);
-        let connected = self.peers.is_connected(now) && reach == Reach::Most;
+        let connected = self.peers.is_connected(now) && reach == Reachability::Majority;
         if connected != self.connected {
             self.connected = connected;
             let term = self.peers.term();
             let kind = if connected { &kinds::LEADER_KNOWN } else { &kinds::LEADER_LOST };
             tell(kind, &self.settings.name, &format!("term={term}"));
         }
-        self.gate.set_ready(connected);
-        self.relay.set_reach(now, reach);
+        self.handle.set_ready(connected);
+        self.relay.set_reachability(now, reach);
         // What is sent without reach is lost, and its caller would not know what became of it.
-        let leader = self.peers.leader(now).filter(|_| reach == Reach::Most);
-        let actions = self.relay.tend(now, leader);
+        let leader = self.peers.leader(now).filter(|_| reach == Reachability::Majority);
+        let actions = self.relay.tick(now, leader);
         self.perform(now, actions);
     }
 
--- a/components/node/src/leading.rs
+++ b/components/node/src/leadership.rs
@@ -37,7 +37,7 @@
             Setup { limits: self.settings.limits, term, reader: self.reader.clone(), replicated };
         let dispatcher = Dispatcher::new(setup, m);
         self.leading = Some(LeaderTerm::new(term, dispatcher));
-        self.peers.follow(self.settings.id(), term, m.now);
+        self.peers.update_leader(self.settings.id(), term, m.now);
         self.relay.leader_changed(m.now);
         let news = self.news.fresh(m.now);
         news.into_iter().for_each(|news| self.feed(Input::Announcement(news)));
@@ -193,7 +193,7 @@
                 self.spawn_call(call, move |result| Input::Stopped { worker, task, run, result });
             }
             Action::RequestAdvice(ask) if ask.caller == self.settings.id() => {
-                let call = self.ports.advice.ask(ask.step, ask.workers);
+                let call = self.ports.advice.request(ask.step, ask.workers);
                 let id = ask.id;
                 self.spawn_call(call, move |advice| Input::Advised {
                     id,
@@ -203,7 +203,7 @@
             }
             Action::RequestAdvice(ask) => {
                 let (id, step, workers) = (ask.id, ask.step, ask.workers);
-                self.links.send(&ask.caller, 0, Message::Ask { id, step, workers });
+                self.links.send(&ask.caller, 0, Message::AdviceRequest { id, step, workers });
             }
             Action::CountCrash { service } => {
                 self.metrics.add_for_service("heathvale_worker_crashes_total", &service, 1);
--- a/components/node/src/leaving.rs
+++ b/components/node/src/leaving_workers.rs
@@ -11,11 +11,11 @@
 
 /// The announcements whose taking in is awaited.
 #[derive(Debug, Default)]
-pub(crate) struct LeavingWaits {
+pub(crate) struct LeavingAcknowledgements {
     by_worker: BTreeMap<WorkerId, Vec<(u64, oneshot::Sender<()>)>>,
 }
 
-impl LeavingWaits {
+impl LeavingAcknowledgements {
     /// Has an announcement with this number awaited.
     pub(crate) fn add(&mut self, worker: WorkerId, number: u64, tx: oneshot::Sender<()>) {
         self.by_worker.entry(worker).or_default().push((number, tx));
--- a/components/node/src/lib.rs
+++ b/components/node/src/lib.rs
@@ -4,35 +4,35 @@
 //! The leader's [`dispatch::Dispatcher`] decides; this crate joins it to clocks, disks, links and
 //! the outside, which it knows only through [`ports`]. docs/design/platform.md has the picture.
 
-mod advising;
-mod away;
+mod advice_calls;
 mod control;
 mod control_event;
 mod descriptors;
 mod entry;
-mod gate;
 mod leader_term;
-mod leading;
-mod leaving;
-mod linking;
+mod leadership;
+mod leaving_workers;
 mod log_store;
 mod log_thread;
 mod message;
+mod node_handle;
 mod peers;
+mod pending_calls;
 pub mod ports;
-mod recent_news;
+mod recent_announcements;
 mod relay;
+mod role_support;
 mod settings;
+mod stall_detection;
 mod start_control;
 mod timing;
-mod waiters;
 
-pub use away::{Absence, AwayWatch};
-pub use descriptors::{Descriptors, limit_in};
+pub use descriptors::{Descriptors, parse_open_file_limit};
 pub use entry::run_entry;
-pub use gate::{Gate, Signal};
 pub use message::Message;
-pub use peers::{Peers, PeersConfig, Reach};
+pub use node_handle::{NodeHandle, Signal};
+pub use peers::{Peers, PeersConfig, Reachability};
 pub use relay::{Relay, RelayAction};
 pub use settings::{NodeSettings, Role};
+pub use stall_detection::{Stall, StallDetector};
 pub use start_control::run_control;
--- a/components/node/src/log_store.rs
+++ b/components/node/src/log_store.rs
@@ -64,7 +64,7 @@
     let cfg = NodeConfig {
         id: settings.id(),
         incarnation,
-        founders: if settings.founds { settings.seeds.clone() } else { BTreeSet::new() },
+        founders: if settings.bootstrap { settings.seeds.clone() } else { BTreeSet::new() },
         contacts: settings.seeds.clone(),
         observers: BTreeSet::new(),
         keep_voters: settings.keep_voters,
--- a/components/node/src/message.rs
+++ b/components/node/src/message.rs
@@ -17,7 +17,7 @@
         /// The sender's disk if it is a control instance.
         disk: Option<Incarnation>,
         /// Whether the sender can call for advice.
-        helps: bool,
+        calls_advice: bool,
         /// Whether the receiver's answers have reached the sender lately.
         answered: bool,
     },
@@ -47,9 +47,9 @@
         answer: Answer,
     },
     /// A worker announced itself to the sender.
-    News(WorkerAnnouncement),
+    Announcement(WorkerAnnouncement),
     /// The leader has taken in that a worker is leaving, and starts nothing more there.
-    LeavingTaken {
+    LeavingAcknowledged {
         /// The worker.
         worker: WorkerId,
         /// The number of its announcement.
@@ -58,7 +58,7 @@
     /// A worker said to the sender that it ends.
     Left(WorkerId),
     /// The leader wants advice to be called for.
-    Ask {
+    AdviceRequest {
         /// Names the call in its answer.
         id: u64,
         /// The step.
--- a/components/node/src/gate.rs
+++ b/components/node/src/node_handle.rs
@@ -26,7 +26,7 @@
     /// Somebody asks for something and waits.
     Call { call: Call, patience: Millis, tx: oneshot::Sender<Answer> },
     /// A worker announced itself.
-    News(WorkerAnnouncement),
+    Announcement(WorkerAnnouncement),
     /// A worker announced that it is leaving; the leader's word on it is awaited.
     Leaving { news: WorkerAnnouncement, tx: oneshot::Sender<()> },
     /// A worker said that it ends.
@@ -46,23 +46,23 @@
 
 /// Hands what listeners take in to the process.
 #[derive(Clone)]
-pub struct Gate {
+pub struct NodeHandle {
     tx: UnboundedSender<Arrival>,
     ready: Arc<AtomicBool>,
     stopping: Arc<AtomicBool>,
     metrics: Arc<Registry>,
 }
 
-impl Gate {
+impl NodeHandle {
     /// Makes a gate through which signals come, too, and gives what arrives at it.
     ///
     /// # Errors
     /// If the signals cannot be watched.
-    pub(crate) fn open(metrics: Arc<Registry>) -> Result<(Gate, UnboundedReceiver<Arrival>)> {
+    pub(crate) fn open(metrics: Arc<Registry>) -> Result<(NodeHandle, UnboundedReceiver<Arrival>)> {
         let (tx, rx) = unbounded_channel();
-        let gate = Gate { tx, ready: Arc::default(), stopping: Arc::default(), metrics };
-        watch_signals(&gate)?;
-        Ok((gate, rx))
+        let handle = NodeHandle { tx, ready: Arc::default(), stopping: Arc::default(), metrics };
+        watch_signals(&handle)?;
+        Ok((handle, rx))
     }
 
     /// Gives the process's figures in text form.
@@ -82,14 +82,14 @@
     }
 
     /// Takes in a worker's announcement.
-    pub fn news(&self, news: WorkerAnnouncement) {
+    pub fn announce(&self, news: WorkerAnnouncement) {
         // A process that ends has no use for it; the worker announces itself elsewhere next time.
-        let _ = self.tx.send(Arrival::News(news));
+        let _ = self.tx.send(Arrival::Announcement(news));
     }
 
     /// Counts an announcement that names no worker, and tells of the first one with each fault. Another writer may
     /// send them for ever, and the log must not fill with them.
-    pub fn note_faulty_announcement(&self, fault: &'static str, id: &str) {
+    pub fn record_faulty_announcement(&self, fault: &'static str, id: &str) {
         if self.metrics.add(FAULTY_ANNOUNCEMENTS, fault, 1) == 1 {
             let subject: String = id.escape_default().take(LONGEST_SUBJECT).collect();
             let details = format!("fault={fault} counted_as={FAULTY_ANNOUNCEMENTS}");
@@ -99,7 +99,7 @@
 
     /// Takes in that a worker is leaving, and tells whether the leader knows of it within `patience`: only
     /// then will surely nothing more be started there.
-    pub async fn leaving(&self, news: WorkerAnnouncement, patience: Millis) -> bool {
+    pub async fn announce_leaving(&self, news: WorkerAnnouncement, patience: Millis) -> bool {
         let (tx, rx) = oneshot::channel();
         // As for news.
         let _ = self.tx.send(Arrival::Leaving { news, tx });
@@ -107,7 +107,7 @@
     }
 
     /// Takes in that a worker ends.
-    pub fn left(&self, worker: WorkerId) {
+    pub fn deregister(&self, worker: WorkerId) {
         // As for news.
         let _ = self.tx.send(Arrival::Left(worker));
     }
@@ -140,13 +140,13 @@
 ///
 /// # Errors
 /// [`Error::Refused`] if signals cannot be taken in.
-fn watch_signals(gate: &Gate) -> Result<()> {
+fn watch_signals(handle: &NodeHandle) -> Result<()> {
     let refused = |e: std::io::Error| Error::Refused(format!("cannot take in signals: {e}"));
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(refused)?;
-    let gate = gate.clone();
+    let handle = handle.clone();
     let watch = move || {
         for signal in signals.forever() {
-            gate.signal(if signal == SIGHUP { Signal::Reload } else { Signal::Stop });
+            handle.signal(if signal == SIGHUP { Signal::Reload } else { Signal::Stop });
         }
     };
     thread::Builder::new().name("signals".into()).spawn(watch).map_err(refused)?;
--- a/components/node/src/peers.rs
+++ b/components/node/src/peers.rs
@@ -44,7 +44,7 @@
     /// Its disk if it is a control instance.
     pub disk: Option<Incarnation>,
     /// Whether it can call for advice.
-    pub helps: bool,
+    pub calls_advice: bool,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -58,7 +58,7 @@
     answered_at: Option<Millis>,
     /// Whether it said that our answers do not reach it.
     misses_us: bool,
-    helps: bool,
+    calls_advice: bool,
     entry: bool,
 }
 
@@ -81,14 +81,14 @@
 
 /// How many of the voters an instance hears.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum Reachability {
     /// More than half, as far as is known: one of them leads or will soon.
-    Most,
+    Majority,
     /// Half or fewer: they cannot lead, and others may, whom this instance does not reach.
-    Few,
+    Minority,
     /// None, or only such as were silent until now: either all of them are starting anew, or this
     /// instance alone is cut off.
-    Nobody,
+    Isolated,
 }
 
 /// The other instances, as this one knows them.
@@ -136,7 +136,7 @@
     }
 
     /// Notes a message of any kind from an instance.
-    pub fn heard(&mut self, id: &InstanceId, now: Millis) {
+    pub fn record_contact(&mut self, id: &InstanceId, now: Millis) {
         self.learn(id, now);
         if let Some(peer) = self.peers.get_mut(id) {
             let before = peer.heard_at.replace(now);
@@ -151,12 +151,12 @@
         &mut self,
         id: &InstanceId,
         disk: Option<Incarnation>,
-        helps: bool,
+        calls_advice: bool,
         answered: bool,
     ) {
         if let Some(peer) = self.peers.get_mut(id) {
             peer.misses_us = !answered;
-            peer.helps = helps;
+            peer.calls_advice = calls_advice;
             peer.entry = disk.is_none();
         }
     }
@@ -177,13 +177,13 @@
             self.learn(id, now);
         }
         match leader {
-            Some(leader) => self.follow(leader, term, now),
+            Some(leader) => self.update_leader(leader, term, now),
             None => false,
         }
     }
 
     /// Notes who leads; a lower term is old news. Tells whether that is new.
-    pub fn follow(&mut self, leader: InstanceId, term: u64, now: Millis) -> bool {
+    pub fn update_leader(&mut self, leader: InstanceId, term: u64, now: Millis) -> bool {
         if self.leader.as_ref().is_some_and(|(known, _)| *known > term) {
             return false;
         }
@@ -195,7 +195,7 @@
     }
 
     /// Notes that an instance stopped leading.
-    pub fn unfollow(&mut self, leader: &InstanceId) {
+    pub fn clear_leader(&mut self, leader: &InstanceId) {
         if self.leader.as_ref().is_some_and(|(_, l)| l == leader) {
             self.leader = None;
         }
@@ -225,7 +225,7 @@
     }
 
     /// Tells how many of the voters can be reached.
-    pub fn reach(&self, now: Millis) -> Reach {
+    pub fn reach(&self, now: Millis) -> Reachability {
         let voters = &self.voters.1;
         let known = || voters.iter().filter_map(|id| self.peers.get(id));
         let heard = |p: &&Peer| p.heard_at.is_some_and(|t| now.since(t) < HEARD_WITHIN);
@@ -233,12 +233,12 @@
         let back = |p: &Peer| now.since(p.heard_since) < STARTING_UP;
         let present = known().filter(|p| heard(p) || starting(p)).count();
         if voters.is_empty() || present * 2 > voters.len() {
-            return Reach::Most;
+            return Reachability::Majority;
         }
         // Whoever was cut off with this instance was heard all along.
         match known().filter(heard).any(|p| !back(p)) {
-            true => Reach::Few,
-            false => Reach::Nobody,
+            true => Reachability::Minority,
+            false => Reachability::Isolated,
         }
     }
 
@@ -248,9 +248,13 @@
     }
 
     /// Gives the instances that can call for advice.
-    pub fn helpers(&self, now: Millis) -> BTreeSet<InstanceId> {
+    pub fn advice_callers(&self, now: Millis) -> BTreeSet<InstanceId> {
         let there = |p: &Peer| p.heard_at.is_some_and(|t| now.since(t) < HELPS_WITHIN);
-        self.peers.iter().filter(|(_, p)| p.helps && there(p)).map(|(id, _)| id.clone()).collect()
+        self.peers
+            .iter()
+            .filter(|(_, p)| p.calls_advice && there(p))
+            .map(|(id, _)| id.clone())
+            .collect()
     }
 
     /// Gives every instance that a link is needed to.
@@ -259,27 +263,27 @@
     }
 
     /// Gives the control instances, this one too if it is one.
-    pub fn controls(&self) -> Vec<InstanceId> {
+    pub fn control_instances(&self) -> Vec<InstanceId> {
         let others = self.peers.iter().filter(|(_, p)| !p.entry).map(|(id, _)| id.clone());
         let own = self.cfg.disk.map(|_| self.cfg.id.clone());
         others.chain(own).collect()
     }
 
     /// Gives the hellos that are due.
-    pub fn hellos(&mut self, now: Millis) -> Vec<(InstanceId, Message)> {
+    pub fn due_hellos(&mut self, now: Millis) -> Vec<(InstanceId, Message)> {
         if now < self.hello_at {
             return Vec::new();
         }
         let known = self.leader(now).is_some();
         self.hello_at = now + if known { HELLO_EVERY } else { SEEK_EVERY };
-        let (disk, helps) = (self.cfg.disk, self.cfg.helps);
-        let hello = |p: &Peer| Message::Hello { disk, helps, answered: p.answers(now) };
+        let (disk, calls_advice) = (self.cfg.disk, self.cfg.calls_advice);
+        let hello = |p: &Peer| Message::Hello { disk, calls_advice, answered: p.answers(now) };
         let controls = self.peers.iter().filter(|(_, p)| !p.entry);
         controls.map(|(id, p)| (id.clone(), hello(p))).collect()
     }
 
     /// Gives the instances whose links are to be opened anew, and drops those that are long gone.
-    pub fn tend(&mut self, now: Millis) -> (Vec<InstanceId>, Vec<InstanceId>) {
+    pub fn maintain(&mut self, now: Millis) -> (Vec<InstanceId>, Vec<InstanceId>) {
         let mut silent = Vec::new();
         let mut gone = Vec::new();
         for (id, peer) in &mut self.peers {
--- a/components/node/src/ports.rs
+++ b/components/node/src/ports.rs
@@ -64,7 +64,7 @@
 /// Calls to the advice service.
 pub trait AdvicePort {
     /// Asks which of `workers` may run a step; gives `None` without an answer.
-    fn ask(&self, step: StepKey, workers: Vec<WorkerId>) -> LocalFuture<Option<Advice>>;
+    fn request(&self, step: StepKey, workers: Vec<WorkerId>) -> LocalFuture<Option<Advice>>;
 }
 
 /// What a process can call.
--- a/components/node/src/recent_news.rs
+++ b/components/node/src/recent_announcements.rs
@@ -12,11 +12,11 @@
 
 /// The last announcement of each worker, and when it came.
 #[derive(Debug, Default)]
-pub(crate) struct RecentNews {
+pub(crate) struct RecentAnnouncements {
     by_worker: BTreeMap<WorkerId, (Millis, WorkerAnnouncement)>,
 }
 
-impl RecentNews {
+impl RecentAnnouncements {
     /// Takes in an announcement, unless a newer one came before it.
     pub(crate) fn add(&mut self, now: Millis, news: WorkerAnnouncement) {
         let known = self.by_worker.get(&news.info.id);
--- a/components/node/src/relay.rs
+++ b/components/node/src/relay.rs
@@ -11,7 +11,7 @@
 use model::InstanceId;
 
 use crate::message::Message;
-use crate::peers::Reach;
+use crate::peers::Reachability;
 
 /// After what silence a call is sent again. A commit takes a few syncs of two disks.
 const RESEND_AFTER: Millis = Millis(600);
@@ -87,7 +87,7 @@
     }
 
     /// Takes in a call and gives its token. Its caller waits for `patience`.
-    pub fn take(&mut self, now: Millis, call: Call, patience: Millis) -> u64 {
+    pub fn accept(&mut self, now: Millis, call: Call, patience: Millis) -> u64 {
         self.last_token += 1;
         let pending = Pending {
             call,
@@ -105,7 +105,7 @@
     }
 
     /// Tells whether a call waits.
-    pub fn is_busy(&self) -> bool {
+    pub fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
@@ -118,31 +118,31 @@
 
     /// Takes in how many voters are reached. Without enough of them calls are given up soon, as their
     /// callers can still be served elsewhere.
-    pub fn set_reach(&mut self, now: Millis, reach: Reach) {
+    pub fn set_reachability(&mut self, now: Millis, reach: Reachability) {
         self.without_reach = match reach {
-            Reach::Most => None,
+            Reachability::Majority => None,
             _ => Some(self.without_reach.unwrap_or(now)),
         };
         let just_lost = self.without_reach.is_some_and(|at| now.since(at) < AT_ONCE_FOR);
         for pending in self.pending.values_mut() {
             let taken_at = pending.taken_at;
             let give_up_at = match reach {
-                Reach::Most => taken_at + NOT_TAKEN_LIMIT,
-                Reach::Few => now,
-                Reach::Nobody => taken_at + ALONE_LIMIT,
+                Reachability::Majority => taken_at + NOT_TAKEN_LIMIT,
+                Reachability::Minority => now,
+                Reachability::Isolated => taken_at + ALONE_LIMIT,
             };
             let ends_at = taken_at + pending.patience;
             pending.give_up_at = give_up_at.min(ends_at);
             pending.limit_at = self.without_reach.map_or(ends_at, |at| ends_at.min(at + LAST_WAIT));
             pending.come_back = match reach {
-                Reach::Nobody if just_lost => Millis::ZERO,
+                Reachability::Isolated if just_lost => Millis::ZERO,
                 _ => COME_BACK,
             };
         }
     }
 
     /// Sends what is due and gives up what has waited too long.
-    pub fn tend(&mut self, now: Millis, leader: Option<&InstanceId>) -> Vec<RelayAction> {
+    pub fn tick(&mut self, now: Millis, leader: Option<&InstanceId>) -> Vec<RelayAction> {
         let mut actions = Vec::new();
         for (token, pending) in &mut self.pending {
             if now >= pending.ends_at() {
--- a/components/node/src/linking.rs
+++ b/components/node/src/role_support.rs
@@ -11,8 +11,8 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use transport::{Links, LinksConfig, Packet};
 
-use crate::gate::Gate;
 use crate::message::Message;
+use crate::node_handle::NodeHandle;
 use crate::peers::Peers;
 use crate::settings::NodeSettings;
 
@@ -40,7 +40,7 @@
 
 /// Links every known peer, opens silent links anew, and closes those of peers that are gone.
 pub(crate) fn sync_links(links: &Links, peers: &mut Peers, now: Millis) {
-    let (silent, gone) = peers.tend(now);
+    let (silent, gone) = peers.maintain(now);
     for id in &gone {
         links.disconnect(id);
     }
@@ -71,8 +71,8 @@
 }
 
 /// Tells that the process was told to stop, and has the balancer send callers elsewhere.
-pub(crate) fn begin_stop(settings: &NodeSettings, gate: &Gate) {
+pub(crate) fn begin_stop(settings: &NodeSettings, handle: &NodeHandle) {
     let grace = settings.grace.0;
     tell(&kinds::NODE_STOPPING, &settings.name, &format!("grace_ms={grace}"));
-    gate.set_stopping();
+    handle.set_stopping();
 }
--- a/components/node/src/settings.rs
+++ b/components/node/src/settings.rs
@@ -32,7 +32,7 @@
     /// Control instances that were known when the settings were written.
     pub seeds: BTreeSet<InstanceId>,
     /// Whether the cell is started for the first time, by the seeds.
-    pub founds: bool,
+    pub bootstrap: bool,
     /// The data folder of a control instance.
     pub data_folder: Option<PathBuf>,
     /// How many voters are kept, however long some of them are silent.
--- a/components/node/src/away.rs
+++ b/components/node/src/stall_detection.rs
@@ -11,44 +11,44 @@
 
 /// For how long a process did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Absence {
+pub struct Stall {
     /// The time since it last looked.
-    pub away: Millis,
+    pub elapsed: Millis,
     /// How much of it the machine was suspended; the rest the process was frozen, or waited for a processor.
     pub suspended: Millis,
 }
 
-pub(crate) fn tell_absence(name: &str, absence: &Absence) {
-    let Absence { away, suspended } = absence;
-    let details = format!("away_ms={} suspended_ms={}", away.0, suspended.0);
+pub(crate) fn log_stall(name: &str, absence: &Stall) {
+    let Stall { elapsed, suspended } = absence;
+    let details = format!("away_ms={} suspended_ms={}", elapsed.0, suspended.0);
     tell(&kinds::PROCESS_AWAY, name, &details);
 }
 
 /// Looks at the clock at every tick. What a process does not know otherwise is that it was away, and its log would
 /// show a gap that nothing explains.
 #[derive(Clone, Copy, Debug)]
-pub struct AwayWatch {
+pub struct StallDetector {
     looked_at: Millis,
     suspended: Millis,
 }
 
-impl AwayWatch {
+impl StallDetector {
     /// Begins to watch.
-    pub fn new(now: Millis, suspended: Millis) -> AwayWatch {
-        AwayWatch { looked_at: now, suspended }
+    pub fn new(now: Millis, suspended: Millis) -> StallDetector {
+        StallDetector { looked_at: now, suspended }
     }
 
     /// Takes in the time, and how long the machine was suspended in all; tells of an absence since the last look.
     /// A look within a tick of the last one is none, so that a busy process does not read two clocks more for
     /// each event.
-    pub fn look(&mut self, now: Millis, suspended: impl FnOnce() -> Millis) -> Option<Absence> {
-        let away = now.since(self.looked_at);
-        if away < TICK {
+    pub fn check(&mut self, now: Millis, suspended: impl FnOnce() -> Millis) -> Option<Stall> {
+        let elapsed = now.since(self.looked_at);
+        if elapsed < TICK {
             return None;
         }
         let suspended = suspended();
-        let absence = Absence { away, suspended: suspended.since(self.suspended) };
-        *self = AwayWatch::new(now, suspended);
-        (away >= AWAY).then_some(absence)
+        let absence = Stall { elapsed, suspended: suspended.since(self.suspended) };
+        *self = StallDetector::new(now, suspended);
+        (elapsed >= AWAY).then_some(absence)
     }
 }
--- a/components/node/src/start_control.rs
+++ b/components/node/src/start_control.rs
@@ -10,20 +10,20 @@
 use tokio::time::sleep;
 use workload::PolicyReader;
 
-use crate::away::AwayWatch;
 use crate::control::{Control, tell_disk_unusable};
 use crate::control_event::ControlEvent;
-use crate::gate::Gate;
-use crate::leaving::LeavingWaits;
-use crate::linking::{open_links, pass_on};
+use crate::leaving_workers::LeavingAcknowledgements;
 use crate::log_store::{self, OpenedLog};
 use crate::log_thread::{self, DISK_RETRY};
+use crate::node_handle::NodeHandle;
 use crate::peers::{Peers, PeersConfig};
+use crate::pending_calls::Waiters;
 use crate::ports::Ports;
-use crate::recent_news::RecentNews;
+use crate::recent_announcements::RecentAnnouncements;
 use crate::relay::Relay;
+use crate::role_support::{open_links, pass_on};
 use crate::settings::NodeSettings;
-use crate::waiters::Waiters;
+use crate::stall_detection::StallDetector;
 
 /// Runs a control instance until it is told to stop. `serve` opens the listeners on the gate.
 ///
@@ -37,7 +37,7 @@
     reload: Box<dyn Fn() -> Option<NodeSettings>>,
 ) -> Result<()>
 where
-    F: FnOnce(Gate) -> Result<S>,
+    F: FnOnce(NodeHandle) -> Result<S>,
 {
     let clock = Arc::new(SystemClock::default());
     let (tx, rx) = unbounded_channel::<ControlEvent>();
@@ -53,24 +53,24 @@
     let (log_tx, log_rx) = unbounded_channel();
     let log = log_thread::spawn(opened, settings.clone(), clock.clone(), links.clone(), log_tx)?;
     let metrics = Arc::new(Registry::default());
-    let (gate, gate_rx) = Gate::open(metrics.clone())?;
-    let cfg = PeersConfig { id: settings.id(), disk: Some(disk), helps: true };
+    let (handle, arrivals_rx) = NodeHandle::open(metrics.clone())?;
+    let cfg = PeersConfig { id: settings.id(), disk: Some(disk), calls_advice: true };
     let control = Control {
         peers: Peers::new(cfg, settings.seeds.clone(), clock.now()),
         relay: Relay::new(u64::from(rand::random::<u32>())),
         waiters: Waiters::new(metrics.clone()),
         metrics,
-        away: AwayWatch::new(clock.now(), clock.suspended()),
+        away: StallDetector::new(clock.now(), clock.suspended()),
         clock,
         links,
         log,
         ports,
         reader,
-        gate: gate.clone(),
+        handle: handle.clone(),
         events: tx.clone(),
         leading: None,
-        news: RecentNews::default(),
-        leaving_waits: LeavingWaits::default(),
+        news: RecentAnnouncements::default(),
+        leaving_waits: LeavingAcknowledgements::default(),
         voters: Vec::new(),
         stops_at: None,
         tick_at: Millis::ZERO,
@@ -80,8 +80,8 @@
         reload,
         settings,
     };
-    let _server = serve(gate)?;
-    ntex::rt::spawn(pass_on(gate_rx, tx.clone(), ControlEvent::Arrival));
+    let _server = serve(handle)?;
+    ntex::rt::spawn(pass_on(arrivals_rx, tx.clone(), ControlEvent::Arrival));
     ntex::rt::spawn(pass_on(log_rx, tx, ControlEvent::Log));
     control.run(rx).await
 }
--- a/components/node/tests/descriptors.rs
+++ b/components/node/tests/descriptors.rs
@@ -1,6 +1,6 @@
 //! The shares of the open files of a process.
 
-use node::{Descriptors, limit_in};
+use node::{Descriptors, parse_open_file_limit};
 use rstest::rstest;
 
 const TABLE: &str = "Limit                     Soft Limit           Hard Limit           Units     \n\
@@ -12,7 +12,7 @@
 #[case::no_limit("Max open files            unlimited            unlimited            files", None)]
 #[case::no_table("", None)]
 fn the_limit_is_read_from_the_kernels_table(#[case] text: &str, #[case] limit: Option<usize>) {
-    assert_eq!(limit_in(text), limit);
+    assert_eq!(parse_open_file_limit(text), limit);
 }
 
 #[rstest]
--- a/components/node/tests/peers.rs
+++ b/components/node/tests/peers.rs
@@ -4,14 +4,14 @@
 
 use clock::Millis;
 use model::{Incarnation, InstanceId};
-use node::{Peers, PeersConfig, Reach};
+use node::{Peers, PeersConfig, Reachability};
 
 fn id(name: &str) -> InstanceId {
     InstanceId::from(name)
 }
 
 fn entry() -> Peers {
-    let cfg = PeersConfig { id: id("e1"), disk: None, helps: true };
+    let cfg = PeersConfig { id: id("e1"), disk: None, calls_advice: true };
     let seeds: BTreeSet<InstanceId> = [id("c1")].into_iter().collect();
     Peers::new(cfg, seeds, Millis(0))
 }
@@ -19,7 +19,7 @@
 /// Hears some instances every tenth of a second.
 fn hear(peers: &mut Peers, names: &[&str], from: u64, to: u64) {
     for now in (from..=to).step_by(100) {
-        names.iter().for_each(|name| peers.heard(&id(name), Millis(now)));
+        names.iter().for_each(|name| peers.record_contact(&id(name), Millis(now)));
     }
 }
 
@@ -27,13 +27,13 @@
 fn hellos_go_to_every_control_instance_that_was_ever_named() {
     let mut peers = entry();
     peers.on_welcome(&id("c1"), None, 0, &[id("c2"), id("c3")], Millis(0));
-    let to: Vec<InstanceId> = peers.hellos(Millis(0)).into_iter().map(|(to, _)| to).collect();
+    let to: Vec<InstanceId> = peers.due_hellos(Millis(0)).into_iter().map(|(to, _)| to).collect();
     assert_eq!(to, vec![id("c1"), id("c2"), id("c3")]);
-    assert!(peers.hellos(Millis(50)).is_empty());
-    assert_eq!(peers.hellos(Millis(100)).len(), 3, "often while no leader is known");
+    assert!(peers.due_hellos(Millis(50)).is_empty());
+    assert_eq!(peers.due_hellos(Millis(100)).len(), 3, "often while no leader is known");
     peers.on_welcome(&id("c1"), Some(id("c1")), 1, &[], Millis(100));
-    peers.hellos(Millis(200));
-    assert!(peers.hellos(Millis(380)).is_empty());
+    peers.due_hellos(Millis(200));
+    assert!(peers.due_hellos(Millis(380)).is_empty());
 }
 
 #[test]
@@ -59,29 +59,29 @@
     peers.on_welcome(&id("c1"), None, 0, &[id("c2"), id("c3")], Millis(1_000));
     peers.set_voters(1, vec![id("c1"), id("c2"), id("c3")]);
     hear(&mut peers, &["c1"], 1_000, 2_000);
-    assert_eq!(peers.reach(Millis(2_000)), Reach::Most, "the other two may be starting");
+    assert_eq!(peers.reach(Millis(2_000)), Reachability::Majority, "the other two may be starting");
     hear(&mut peers, &["c1"], 2_000, 3_000);
-    assert_eq!(peers.reach(Millis(3_000)), Reach::Few);
+    assert_eq!(peers.reach(Millis(3_000)), Reachability::Minority);
 }
 
 #[test]
 fn silent_links_are_opened_anew_and_only_seeds_are_kept_for_ever() {
     let mut peers = entry();
-    peers.heard(&id("c9"), Millis(0));
-    let (silent, gone) = peers.tend(Millis(1_100));
+    peers.record_contact(&id("c9"), Millis(0));
+    let (silent, gone) = peers.maintain(Millis(1_100));
     assert_eq!((silent, gone), (vec![id("c1"), id("c9")], vec![]));
-    let (silent, _) = peers.tend(Millis(1_500));
+    let (silent, _) = peers.maintain(Millis(1_500));
     assert!(silent.is_empty(), "not at every tick");
-    let (_, gone) = peers.tend(Millis(70_000));
+    let (_, gone) = peers.maintain(Millis(70_000));
     assert_eq!(gone, vec![id("c9")]);
 }
 
 #[test]
 fn an_instance_that_falls_silent_gets_a_new_link_sooner_than_one_that_is_only_slow_to_answer() {
     let mut peers = entry();
-    peers.heard(&id("c1"), Millis(1_000));
+    peers.record_contact(&id("c1"), Millis(1_000));
     peers.on_welcome(&id("c1"), None, 0, &[], Millis(1_000));
-    let opened = |peers: &mut Peers, now| !peers.tend(Millis(now)).0.is_empty();
+    let opened = |peers: &mut Peers, now| !peers.maintain(Millis(now)).0.is_empty();
     assert!(!opened(&mut peers, 1_450));
     assert!(opened(&mut peers, 1_500));
     assert!(!opened(&mut peers, 1_950), "not at every tick");
@@ -100,31 +100,35 @@
 fn only_instances_that_are_there_and_say_so_help() {
     let mut peers = entry();
     for name in ["e2", "e3", "c1"] {
-        peers.heard(&id(name), Millis(0));
+        peers.record_contact(&id(name), Millis(0));
     }
     peers.on_hello(&id("e2"), None, true, true);
     peers.on_hello(&id("e3"), None, false, true);
     peers.on_hello(&id("c1"), Some(Incarnation(1)), true, true);
-    let helpers: Vec<InstanceId> = peers.helpers(Millis(100)).into_iter().collect();
+    let helpers: Vec<InstanceId> = peers.advice_callers(Millis(100)).into_iter().collect();
     assert_eq!(helpers, vec![id("c1"), id("e2")]);
-    assert!(peers.helpers(Millis(800)).is_empty(), "what a silent one is asked for is late");
+    assert!(peers.advice_callers(Millis(800)).is_empty(), "what a silent one is asked for is late");
 }
 
 #[test]
 fn an_instance_that_hears_half_of_the_voters_or_fewer_is_cut_off() {
     let mut peers = entry();
-    assert_eq!(peers.reach(Millis(0)), Reach::Most, "nothing is known yet");
+    assert_eq!(peers.reach(Millis(0)), Reachability::Majority, "nothing is known yet");
     peers.set_voters(3, vec![id("c1"), id("c2"), id("c3")]);
     hear(&mut peers, &["c1", "c2", "c3"], 1_000, 3_000);
     hear(&mut peers, &["c1", "c2"], 3_000, 4_000);
-    assert_eq!(peers.reach(Millis(4_000)), Reach::Most);
+    assert_eq!(peers.reach(Millis(4_000)), Reachability::Majority);
     hear(&mut peers, &["c1"], 4_000, 5_000);
-    assert_eq!(peers.reach(Millis(5_000)), Reach::Few);
+    assert_eq!(peers.reach(Millis(5_000)), Reachability::Minority);
     peers.set_voters(2, vec![id("c1")]);
-    assert_eq!(peers.reach(Millis(5_000)), Reach::Few, "an older term changes no voters");
-    assert_eq!(peers.reach(Millis(5_600)), Reach::Nobody);
+    assert_eq!(
+        peers.reach(Millis(5_000)),
+        Reachability::Minority,
+        "an older term changes no voters"
+    );
+    assert_eq!(peers.reach(Millis(5_600)), Reachability::Isolated);
     hear(&mut peers, &["c2"], 6_000, 6_200);
-    assert_eq!(peers.reach(Millis(6_200)), Reach::Nobody, "the voters are starting anew");
+    assert_eq!(peers.reach(Millis(6_200)), Reachability::Isolated, "the voters are starting anew");
 }
 
 /// The instances whose links are opened anew, at any tick up to a time.
@@ -137,7 +141,7 @@
     let mut opened = 0;
     for now in (from..to).step_by(50) {
         tick(peers, now);
-        opened += peers.tend(Millis(now)).0.len();
+        opened += peers.maintain(Millis(now)).0.len();
     }
     opened
 }
@@ -145,11 +149,11 @@
 #[test]
 fn an_instance_that_is_heard_and_does_not_answer_hellos_gets_a_new_link() {
     let mut peers = entry();
-    let heard = |peers: &mut Peers, now| peers.heard(&id("c1"), Millis(now));
+    let heard = |peers: &mut Peers, now| peers.record_contact(&id("c1"), Millis(now));
     assert_eq!(reconnects(&mut peers, 0, 1_000, heard), 0, "an answer may take a while");
     assert_eq!(reconnects(&mut peers, 1_000, 4_000, heard), 3, "once a second");
     let answered = |peers: &mut Peers, now| {
-        peers.heard(&id("c1"), Millis(now));
+        peers.record_contact(&id("c1"), Millis(now));
         peers.on_welcome(&id("c1"), None, 0, &[], Millis(now));
     };
     assert_eq!(reconnects(&mut peers, 4_000, 8_000, answered), 0);
@@ -160,10 +164,10 @@
     let mut peers = entry();
     let hello = |answered| {
         move |peers: &mut Peers, now| {
-            peers.heard(&id("e9"), Millis(now));
+            peers.record_contact(&id("e9"), Millis(now));
             peers.on_hello(&id("e9"), None, true, answered);
             // The seed answers all along.
-            peers.heard(&id("c1"), Millis(now));
+            peers.record_contact(&id("c1"), Millis(now));
             peers.on_welcome(&id("c1"), None, 0, &[], Millis(now));
         }
     };
@@ -175,7 +179,7 @@
 #[test]
 fn a_hello_tells_whether_the_other_end_answers() {
     let mut peers = entry();
-    let told = |peers: &mut Peers, now| match peers.hellos(Millis(now)).pop() {
+    let told = |peers: &mut Peers, now| match peers.due_hellos(Millis(now)).pop() {
         Some((_, node::Message::Hello { answered, .. })) => answered,
         other => panic!("no hello: {other:?}"),
     };
--- a/components/node/tests/relay.rs
+++ b/components/node/tests/relay.rs
@@ -5,7 +5,7 @@
 use clock::Millis;
 use dispatch::{Answer, Call, Verb};
 use model::InstanceId;
-use node::{Message, Reach, Relay, RelayAction};
+use node::{Message, Reachability, Relay, RelayAction};
 use rstest::rstest;
 use workload::JobSpec;
 
@@ -34,20 +34,20 @@
 fn an_answer_is_handed_on_once() {
     let leader = InstanceId::from("l1");
     let mut relay = Relay::new(1);
-    let token = relay.take(Millis(0), submit(), PATIENCE);
-    assert_eq!(sent(&relay.tend(Millis(0), Some(&leader))), 1);
+    let token = relay.accept(Millis(0), submit(), PATIENCE);
+    assert_eq!(sent(&relay.tick(Millis(0), Some(&leader))), 1);
     let answer = relay.on_answer(Millis(9), token, Answer::Accepted);
     assert_eq!(answer, Some(RelayAction::Answer(token, Answer::Accepted)));
     assert_eq!(relay.on_answer(Millis(9), token, Answer::Accepted), None);
-    assert!(!relay.is_busy());
+    assert!(!relay.has_pending());
 }
 
 #[test]
 fn without_any_leader_a_call_is_surely_not_done() {
     let mut relay = Relay::new(1);
-    relay.take(Millis(0), submit(), PATIENCE);
-    assert_eq!(relay.tend(Millis(1_000), None), vec![]);
-    let word = last_word(relay.tend(PATIENCE, None));
+    relay.accept(Millis(0), submit(), PATIENCE);
+    assert_eq!(relay.tick(Millis(1_000), None), vec![]);
+    let word = last_word(relay.tick(PATIENCE, None));
     assert!(matches!(word, Some(Answer::NotDone { .. })));
 }
 
@@ -62,9 +62,9 @@
 ) {
     let leader = InstanceId::from("l1");
     let mut relay = Relay::new(1);
-    relay.take(Millis(0), call, PATIENCE);
-    relay.tend(Millis(0), Some(&leader));
-    let word = last_word(relay.tend(PATIENCE, None));
+    relay.accept(Millis(0), call, PATIENCE);
+    relay.tick(Millis(0), Some(&leader));
+    let word = last_word(relay.tick(PATIENCE, None));
     assert_eq!(matches!(word, Some(Answer::Unsure { .. })), unsure);
 }
 
@@ -72,13 +72,13 @@
 fn a_refusal_after_an_unanswered_try_does_not_hide_that_try() {
     let (old, new) = (InstanceId::from("l1"), InstanceId::from("l2"));
     let mut relay = Relay::new(1);
-    let token = relay.take(Millis(0), submit(), PATIENCE);
-    relay.tend(Millis(0), Some(&old));
+    let token = relay.accept(Millis(0), submit(), PATIENCE);
+    relay.tick(Millis(0), Some(&old));
     relay.leader_changed(Millis(100));
-    assert_eq!(sent(&relay.tend(Millis(100), Some(&new))), 1);
+    assert_eq!(sent(&relay.tick(Millis(100), Some(&new))), 1);
     let refusal = Answer::NotDone { retry_after: Millis(1) };
     assert_eq!(relay.on_answer(Millis(110), token, refusal), None);
-    let word = last_word(relay.tend(PATIENCE, None));
+    let word = last_word(relay.tick(PATIENCE, None));
     assert!(matches!(word, Some(Answer::Unsure { .. })));
 }
 
@@ -86,10 +86,10 @@
 fn a_refusal_to_the_only_try_leaves_the_call_surely_not_done() {
     let leader = InstanceId::from("l1");
     let mut relay = Relay::new(1);
-    let token = relay.take(Millis(0), submit(), PATIENCE);
-    relay.tend(Millis(0), Some(&leader));
+    let token = relay.accept(Millis(0), submit(), PATIENCE);
+    relay.tick(Millis(0), Some(&leader));
     relay.on_answer(Millis(10), token, Answer::NotDone { retry_after: Millis(1) });
-    let word = last_word(relay.tend(PATIENCE, None));
+    let word = last_word(relay.tick(PATIENCE, None));
     assert!(matches!(word, Some(Answer::NotDone { .. })));
 }
 
@@ -97,8 +97,8 @@
 fn a_call_that_is_not_answered_is_sent_again() {
     let leader = InstanceId::from("l1");
     let mut relay = Relay::new(1);
-    relay.take(Millis(0), submit(), PATIENCE);
-    let tries: usize = (0..18).map(|t| sent(&relay.tend(Millis(t * 100), Some(&leader)))).sum();
+    relay.accept(Millis(0), submit(), PATIENCE);
+    let tries: usize = (0..18).map(|t| sent(&relay.tick(Millis(t * 100), Some(&leader)))).sum();
     assert_eq!(tries, 3);
 }
 
@@ -106,11 +106,11 @@
 fn an_instance_that_is_cut_off_refuses_at_once_what_surely_was_not_taken() {
     let leader = InstanceId::from("l1");
     let mut relay = Relay::new(1);
-    let taken = relay.take(Millis(0), submit(), PATIENCE);
-    relay.tend(Millis(0), Some(&leader));
-    let fresh = relay.take(Millis(10), submit(), PATIENCE);
-    relay.set_reach(Millis(10), Reach::Few);
-    let actions = relay.tend(Millis(10), None);
+    let taken = relay.accept(Millis(0), submit(), PATIENCE);
+    relay.tick(Millis(0), Some(&leader));
+    let fresh = relay.accept(Millis(10), submit(), PATIENCE);
+    relay.set_reachability(Millis(10), Reachability::Minority);
+    let actions = relay.tick(Millis(10), None);
     let refusal = Answer::NotDone { retry_after: Millis(700) };
     assert_eq!(actions, vec![RelayAction::Answer(fresh, refusal)]);
     let answer = relay.on_answer(Millis(20), taken, Answer::Accepted);
@@ -121,28 +121,28 @@
 fn an_instance_that_is_cut_off_says_soon_that_a_call_may_have_been_taken() {
     let leader = InstanceId::from("l1");
     let mut relay = Relay::new(1);
-    relay.take(Millis(0), submit(), PATIENCE);
-    relay.tend(Millis(0), Some(&leader));
+    relay.accept(Millis(0), submit(), PATIENCE);
+    relay.tick(Millis(0), Some(&leader));
     for now in [500, 550, 600] {
-        relay.set_reach(Millis(now), Reach::Few);
-        assert_eq!(last_word(relay.tend(Millis(now), None)), None, "an answer may be on its way");
+        relay.set_reachability(Millis(now), Reachability::Minority);
+        assert_eq!(last_word(relay.tick(Millis(now), None)), None, "an answer may be on its way");
     }
-    let word = last_word(relay.tend(Millis(700), None));
+    let word = last_word(relay.tick(Millis(700), None));
     assert!(matches!(word, Some(Answer::Unsure { .. })), "the caller can ask elsewhere");
 }
 
 #[test]
 fn an_instance_that_hears_nobody_keeps_a_call_for_a_moment_and_then_sends_the_caller_on_at_once() {
     let mut relay = Relay::new(1);
-    relay.take(Millis(0), submit(), PATIENCE);
-    relay.set_reach(Millis(0), Reach::Nobody);
-    assert_eq!(relay.tend(Millis(250), None), vec![]);
-    let word = last_word(relay.tend(Millis(300), None));
+    relay.accept(Millis(0), submit(), PATIENCE);
+    relay.set_reachability(Millis(0), Reachability::Isolated);
+    assert_eq!(relay.tick(Millis(250), None), vec![]);
+    let word = last_word(relay.tick(Millis(300), None));
     assert_eq!(word, Some(Answer::NotDone { retry_after: Millis::ZERO }));
     // A longer loss of all voters must not use up the tries of callers within a second.
-    relay.take(Millis(1_500), submit(), PATIENCE);
-    relay.set_reach(Millis(1_500), Reach::Nobody);
-    let word = last_word(relay.tend(Millis(1_800), None));
+    relay.accept(Millis(1_500), submit(), PATIENCE);
+    relay.set_reachability(Millis(1_500), Reachability::Isolated);
+    let word = last_word(relay.tick(Millis(1_800), None));
     assert_eq!(word, Some(Answer::NotDone { retry_after: Millis(700) }));
 }
 
@@ -150,9 +150,9 @@
 fn a_call_waits_on_once_enough_voters_are_back() {
     let leader = InstanceId::from("l1");
     let mut relay = Relay::new(1);
-    relay.take(Millis(0), submit(), PATIENCE);
-    relay.set_reach(Millis(0), Reach::Nobody);
-    relay.set_reach(Millis(200), Reach::Most);
-    assert_eq!(sent(&relay.tend(Millis(200), Some(&leader))), 1);
-    assert_eq!(last_word(relay.tend(Millis(700), Some(&leader))), None);
+    relay.accept(Millis(0), submit(), PATIENCE);
+    relay.set_reachability(Millis(0), Reachability::Isolated);
+    relay.set_reachability(Millis(200), Reachability::Majority);
+    assert_eq!(sent(&relay.tick(Millis(200), Some(&leader))), 1);
+    assert_eq!(last_word(relay.tick(Millis(700), Some(&leader))), None);
 }
--- a/components/node/tests/away.rs
+++ b/components/node/tests/stall_detection.rs
@@ -1,7 +1,7 @@
 //! A process finds out that it was away, and why.
 
 use clock::Millis;
-use node::{Absence, AwayWatch};
+use node::{Stall, StallDetector};
 use rstest::rstest;
 
 #[rstest]
@@ -14,11 +14,11 @@
     #[case] suspended: Millis,
     #[case] wanted: Option<(u64, u64)>,
 ) {
-    let mut watch = AwayWatch::new(Millis(100), Millis(30));
-    let seen = watch.look(Millis(100) + after, || Millis(30) + suspended);
-    let wanted = wanted.map(|(away, s)| Absence { away: Millis(away), suspended: Millis(s) });
+    let mut watch = StallDetector::new(Millis(100), Millis(30));
+    let seen = watch.check(Millis(100) + after, || Millis(30) + suspended);
+    let wanted = wanted.map(|(away, s)| Stall { elapsed: Millis(away), suspended: Millis(s) });
     assert_eq!(seen, wanted);
-    let again = watch.look(Millis(150) + after, || Millis(30) + suspended);
+    let again = watch.check(Millis(150) + after, || Millis(30) + suspended);
     assert_eq!(again, None, "it is told once");
 }
 
@@ -26,11 +26,11 @@
 /// is told in full.
 #[test]
 fn looks_within_a_tick_do_not_ask_for_the_suspension() {
-    let mut watch = AwayWatch::new(Millis(100), Millis(30));
+    let mut watch = StallDetector::new(Millis(100), Millis(30));
     for now in 101..150 {
-        let seen = watch.look(Millis(now), || unreachable!("within a tick, at {now}"));
+        let seen = watch.check(Millis(now), || unreachable!("within a tick, at {now}"));
         assert_eq!(seen, None);
     }
-    let seen = watch.look(Millis(5_100), || Millis(2_030));
-    assert_eq!(seen, Some(Absence { away: Millis(5_000), suspended: Millis(2_000) }));
+    let seen = watch.check(Millis(5_100), || Millis(2_030));
+    assert_eq!(seen, Some(Stall { elapsed: Millis(5_000), suspended: Millis(2_000) }));
 }
