--- a/components/bench/src/replay.rs
+++ b/components/bench/src/replay.rs
@@ -100,7 +100,7 @@
                     let start = self.starts[&task];
                     self.due.push(Reverse((self.now + CHECKPOINT, Due::Stopped(task, start))));
                 }
-                Decision::Hopeless { .. } => self.out.hopeless += 1,
+                Decision::Unplaceable { .. } => self.out.hopeless += 1,
             }
         }
     }
@@ -165,7 +165,7 @@
                 }
             }
         }
-        self.planner.look_again();
+        self.planner.reexamine_stuck();
     }
 
     fn cancel(&mut self, jobs: usize) {
--- a/components/bench/src/requests.rs
+++ b/components/bench/src/requests.rs
@@ -8,8 +8,8 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use routing::{
-    Admission, Broker, Dispatch, Ending, Pick, RequestInfo, Router, RouterConfig, ShareWay,
-    TargetState, pool,
+    Admission, Broker, Dispatch, RequestInfo, RequestOutcome, Router, RouterConfig,
+    SelectionPolicy, SlotSharing, TargetState, lendable_slots,
 };
 
 use crate::figure::{Waits, figure};
@@ -30,16 +30,24 @@
 /// A way under comparison.
 struct Way {
     name: &'static str,
-    share: ShareWay,
-    pick: Pick,
+    share: SlotSharing,
+    pick: SelectionPolicy,
 }
 
 const WAYS: [Way; 5] = [
-    Way { name: "fixed_least", share: ShareWay::Fixed, pick: Pick::LeastInFlight },
-    Way { name: "fixed_shortest", share: ShareWay::Fixed, pick: Pick::ShortestWait },
-    Way { name: "fixed_two_choices", share: ShareWay::Fixed, pick: Pick::TwoChoices },
-    Way { name: "borrowed_least", share: ShareWay::Borrowed, pick: Pick::LeastInFlight },
-    Way { name: "borrowed_shortest", share: ShareWay::Borrowed, pick: Pick::ShortestWait },
+    Way { name: "fixed_least", share: SlotSharing::Fixed, pick: SelectionPolicy::LeastInFlight },
+    Way { name: "fixed_shortest", share: SlotSharing::Fixed, pick: SelectionPolicy::ShortestWait },
+    Way { name: "fixed_two_choices", share: SlotSharing::Fixed, pick: SelectionPolicy::TwoChoices },
+    Way {
+        name: "borrowed_least",
+        share: SlotSharing::Borrowed,
+        pick: SelectionPolicy::LeastInFlight,
+    },
+    Way {
+        name: "borrowed_shortest",
+        share: SlotSharing::Borrowed,
+        pick: SelectionPolicy::ShortestWait,
+    },
 ];
 
 /// Who gets the callers.
@@ -85,7 +93,7 @@
     due: BinaryHeap<Reverse<(u64, u64, Due)>>,
     order: u64,
     out: &'a mut Outcome,
-    share: ShareWay,
+    share: SlotSharing,
 }
 
 fn name(i: usize) -> Name {
@@ -128,12 +136,12 @@
         let Some(info) = self.info(id) else { return };
         let class = info.class;
         let router = &mut self.routers[instance];
-        let mut admission = router.arrive(Millis(now), info.clone());
+        let mut admission = router.admit(Millis(now), info.clone());
         if matches!(admission, Admission::Refuse { .. })
             && class == Class::Urgent
             && let Some(Dispatch::Refuse { id: shed, .. }) = router.shed_below(Millis(now), class)
         {
-            admission = router.arrive(Millis(now), info);
+            admission = router.admit(Millis(now), info);
             self.refuse(shed);
         }
         match admission {
@@ -171,8 +179,8 @@
         self.in_flight[upstream] -= 1;
         let load = Some(self.in_flight[upstream]);
         let ending = match fails {
-            true => Ending::Failed,
-            false => Ending::Answered { micros: (now - sent) * 1_000, load },
+            true => RequestOutcome::Failed,
+            false => RequestOutcome::Answered { micros: (now - sent) * 1_000, load },
         };
         let dispatches = self.routers[instance].ended(Millis(now), &name(upstream), ending);
         self.follow(now, instance, dispatches);
@@ -210,7 +218,7 @@
     }
 
     fn lend(&mut self, now: u64, callers: Callers) {
-        let lendable = pool(self.share, SLOTS, INSTANCES as u32);
+        let lendable = lendable_slots(self.share, SLOTS, INSTANCES as u32);
         let alive = if callers == Callers::OneDead { 1 } else { INSTANCES };
         for i in 0..alive {
             let id = InstanceId(name(i));
@@ -224,8 +232,8 @@
 
 fn measure(way: &Way, load: u64, callers: Callers, out: &mut Outcome) {
     let config = RouterConfig {
-        way: way.share,
-        pick: way.pick,
+        sharing: way.share,
+        selection: way.pick,
         slots: SLOTS,
         instances: INSTANCES as u32,
         queue_limit: Millis(500),
--- a/components/instance/src/callers.rs
+++ b/components/instance/src/callers.rs
@@ -18,7 +18,7 @@
 use ntex::time::Millis as Wait;
 use ntex::util::Bytes;
 use ntex::web::{HttpRequest, HttpResponse, error::PayloadError, types::State};
-use routing::{Admission, Dispatch, Ending, RequestInfo};
+use routing::{Admission, Dispatch, RequestInfo, RequestOutcome};
 use tokio::sync::oneshot;
 use upstream::headers;
 
@@ -208,7 +208,7 @@
 
     async fn call_upstream(&self, incoming: &Incoming, upstream: &Name) -> CallEnd {
         let (shared, upstream) = (self.shared.clone(), upstream.clone());
-        let mut slot = Slot { shared, upstream, ending: Ending::GivenUp };
+        let mut slot = Slot { shared, upstream, ending: RequestOutcome::Abandoned };
         let Some(addr) = self.shared.addresses().get(&slot.upstream).copied() else {
             return CallEnd::NotRun { leaving: true, connected: false };
         };
@@ -221,10 +221,10 @@
         let end = call.await;
         slot.ending = match &end {
             CallEnd::Done { load, .. } => {
-                Ending::Answered { micros: begun.elapsed().as_micros() as u64, load: *load }
+                RequestOutcome::Answered { micros: begun.elapsed().as_micros() as u64, load: *load }
             }
-            CallEnd::NotRun { connected: true, .. } => Ending::Busy,
-            _ => Ending::Failed,
+            CallEnd::NotRun { connected: true, .. } => RequestOutcome::Busy,
+            _ => RequestOutcome::Failed,
         };
         if matches!(end, CallEnd::NotRun { leaving: true, connected: true }) {
             // The core tells the zone's other instances.
--- a/components/instance/src/callers/guards.rs
+++ b/components/instance/src/callers/guards.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use model::Name;
-use routing::Ending;
+use routing::RequestOutcome;
 
 use crate::shared::{Shared, lock};
 
@@ -27,7 +27,7 @@
 pub(super) struct Slot {
     pub(super) shared: Arc<Shared>,
     pub(super) upstream: Name,
-    pub(super) ending: Ending,
+    pub(super) ending: RequestOutcome,
 }
 
 impl Drop for Slot {
--- a/components/instance/src/plane.rs
+++ b/components/instance/src/plane.rs
@@ -5,20 +5,20 @@
 use clock::Millis;
 use model::{CellConfig, Class, Epoch, InstanceId, Name};
 use routing::{
-    Admission, Demand, Dispatch, Ending, Loan, Pick, RequestInfo, Router, RouterConfig, ShareWay,
-    TargetState,
+    Admission, Demand, Dispatch, Loan, RequestInfo, RequestOutcome, Router, RouterConfig,
+    SelectionPolicy, SlotSharing, TargetState,
 };
 use settings::Instance;
 use tokio::sync::oneshot;
 
 /// The chosen ways; docs/design/requests.md says by which measurement.
-const WAY: ShareWay = ShareWay::Borrowed;
-const PICK: Pick = Pick::ShortestWait;
+const WAY: SlotSharing = SlotSharing::Borrowed;
+const PICK: SelectionPolicy = SelectionPolicy::ShortestWait;
 
 fn router_config(config: &CellConfig) -> RouterConfig {
     RouterConfig {
-        way: WAY,
-        pick: PICK,
+        sharing: WAY,
+        selection: PICK,
         slots: config.upstream_slots,
         instances: config.instances_per_zone,
         queue_limit: config.queue_limit,
@@ -28,7 +28,7 @@
 
 /// Gives what the zone's broker may lend of each upstream.
 pub(crate) fn pool_to_lend(config: &CellConfig) -> u32 {
-    routing::pool(WAY, config.upstream_slots, config.instances_per_zone)
+    routing::lendable_slots(WAY, config.upstream_slots, config.instances_per_zone)
 }
 
 /// What an arriving request is told.
@@ -106,7 +106,7 @@
 
     pub(crate) fn arrive(&mut self, now: Millis, info: RequestInfo) -> Arrival {
         let (id, class) = (info.id, info.class);
-        match self.router.arrive(now, info.clone()) {
+        match self.router.admit(now, info.clone()) {
             Admission::Wait => Arrival::Later(self.wait_for(id)),
             refusal @ Admission::Refuse { .. } if class == Class::Urgent => {
                 // Lower classes give way; the refusal stands if there are none.
@@ -114,7 +114,7 @@
                     return Arrival::Decided(refusal);
                 };
                 self.tell(vec![shed]);
-                match self.router.arrive(now, info) {
+                match self.router.admit(now, info) {
                     Admission::Wait => Arrival::Later(self.wait_for(id)),
                     decided => Arrival::Decided(decided),
                 }
@@ -129,7 +129,7 @@
         rx
     }
 
-    pub(crate) fn ended(&mut self, now: Millis, upstream: &Name, ending: Ending) {
+    pub(crate) fn ended(&mut self, now: Millis, upstream: &Name, ending: RequestOutcome) {
         let dispatches = self.router.ended(now, upstream, ending);
         self.tell_or_end(now, dispatches);
     }
@@ -145,7 +145,7 @@
             let unheard = self.tell(dispatches);
             dispatches = Vec::new();
             for upstream in unheard {
-                dispatches.extend(self.router.ended(now, &upstream, Ending::GivenUp));
+                dispatches.extend(self.router.ended(now, &upstream, RequestOutcome::Abandoned));
             }
         }
     }
@@ -167,7 +167,7 @@
     /// Takes out a request whose caller has gone.
     pub(crate) fn give_up(&mut self, id: u64) {
         self.waiting.remove(&id);
-        self.router.give_up(id);
+        self.router.cancel(id);
     }
 
     pub(crate) fn may_retry(&mut self, now: Millis, info: &RequestInfo) -> bool {
--- a/components/placement/src/placing.rs
+++ b/components/placement/src/assignment.rs
@@ -5,9 +5,9 @@
 use clock::Millis;
 use model::{JobKind, JobSpec, Profile, Spread, TaskId};
 
-use crate::decision::{Decision, Placed};
+use crate::decision::{Decision, PlacedTask};
 use crate::planner::Planner;
-use crate::search::{Ask, NO_TASKS, Preference};
+use crate::search::{NO_TASKS, PlacementRequest, Preference};
 use crate::worker::WorkerIndex;
 
 impl Planner {
@@ -78,10 +78,15 @@
             Spread::None => None,
             Spread::Rack | Spread::Zone => Some(self.spread.get(&spec.name).unwrap_or(&NO_TASKS)),
         };
-        let ask = Ask { size: spec.size, preference: self.preference(spec), spread, skip: &skip };
+        let ask = PlacementRequest {
+            size: spec.size,
+            preference: self.preference(spec),
+            spread,
+            skip: &skip,
+        };
         match self.policy.baseline {
-            Some(baseline) => baseline.find_room(&self.ledger, &ask),
-            None => self.ledger.find_room(&ask),
+            Some(baseline) => baseline.select_worker(&self.ledger, &ask),
+            None => self.ledger.select_worker(&ask),
         }
     }
 
@@ -95,8 +100,8 @@
     /// all else is packed tightly, so that room for large tasks stays whole.
     fn preference(&self, spec: &JobSpec) -> Preference {
         match (self.policy.profile, spec.kind) {
-            (Profile::Waiting, JobKind::Service) => Preference::Roomiest,
-            _ => Preference::Tightest,
+            (Profile::Waiting, JobKind::Service) => Preference::MostFree,
+            _ => Preference::LeastFree,
         }
     }
 
@@ -117,7 +122,7 @@
         *used = used.plus(&spec.size);
         self.by_worker.entry(worker).or_default().insert(task.clone());
         let spec = spec.clone();
-        let placed = Placed { spec, generation, worker, since: now, expected_end };
+        let placed = PlacedTask { spec, generation, worker, since: now, expected_end };
         self.placed.insert(task, placed);
     }
 }
--- a/components/placement/src/decision.rs
+++ b/components/placement/src/decision.rs
@@ -9,7 +9,7 @@
 
 /// A task that has a worker.
 #[derive(Clone, Debug)]
-pub struct Placed {
+pub struct PlacedTask {
     /// Its job.
     pub spec: Arc<JobSpec>,
     /// The version that created the job.
@@ -41,7 +41,7 @@
         worker: WorkerIndex,
     },
     /// The job can never run here.
-    Hopeless {
+    Unplaceable {
         /// The job.
         job: JobName,
         /// Why, in words for its operator.
--- a/components/placement/src/ledger.rs
+++ b/components/placement/src/ledger.rs
@@ -171,7 +171,7 @@
 
     /// Gives how many tasks of `size` the present workers could hold if all were empty, counting
     /// no further than `enough`.
-    pub fn copies_when_empty_at_most(&self, size: &Size, enough: u64) -> u64 {
+    pub fn tasks_fitting_when_empty(&self, size: &Size, enough: u64) -> u64 {
         let mut found = 0;
         for slot in self.slots.iter().filter(|s| s.present) {
             found += size.copies_in(&slot.info.total);
--- a/components/placement/src/limits.rs
+++ b/components/placement/src/limits.rs
@@ -21,7 +21,7 @@
         if self.ledger.is_empty() {
             return None;
         }
-        let copies = self.ledger.copies_when_empty_at_most(&spec.size, tasks as u64);
+        let copies = self.ledger.tasks_fitting_when_empty(&spec.size, tasks as u64);
         if copies == 0 {
             let need = &spec.size;
             return Some(format!("no worker is large enough: a task takes {need}").into());
--- a/components/placement/src/planner.rs
+++ b/components/placement/src/planner.rs
@@ -6,15 +6,15 @@
 use clock::Millis;
 use model::{Class, JobKind, JobName, JobSpec, Name, Size, Spread, TaskId};
 
-use crate::decision::{Decision, Placed};
+use crate::decision::{Decision, PlacedTask};
 use crate::estimate::Estimator;
 use crate::ledger::Ledger;
-use crate::line::Walk;
+use crate::organisation_queue::Walk;
+use crate::planning_round::{NoRoom, Round};
 use crate::policy::Policy;
-use crate::queue::Queue;
 use crate::reservation::Reservation;
-use crate::round::{NoRoom, Round};
 use crate::search::SpreadCounts;
+use crate::waiting_tasks::WaitingTasks;
 use crate::worker::WorkerIndex;
 
 /// Decides who gets what is free.
@@ -26,8 +26,8 @@
     pub ledger: Ledger,
     /// What is known of run times.
     pub estimator: Estimator,
-    pub(crate) queue: Queue,
-    pub(crate) placed: BTreeMap<TaskId, Placed>,
+    pub(crate) queue: WaitingTasks,
+    pub(crate) placed: BTreeMap<TaskId, PlacedTask>,
     pub(crate) by_worker: BTreeMap<WorkerIndex, BTreeSet<TaskId>>,
     pub(crate) spread: BTreeMap<JobName, SpreadCounts>,
     pub(crate) avoid: BTreeMap<JobName, BTreeSet<WorkerIndex>>,
@@ -94,7 +94,7 @@
     }
 
     /// Gives a placed task's room back. The task does not wait again by itself.
-    pub fn release(&mut self, task: &TaskId) -> Option<Placed> {
+    pub fn release(&mut self, task: &TaskId) -> Option<PlacedTask> {
         let placed = self.placed.remove(task)?;
         self.evicting.remove(task);
         self.ledger.release(placed.worker, &placed.spec.size);
@@ -119,7 +119,7 @@
     }
 
     /// Says whether a worker may be given one task in a plan, or as many as fit.
-    pub fn set_trial(&mut self, worker: WorkerIndex, is_trial: bool) {
+    pub fn set_probation(&mut self, worker: WorkerIndex, is_trial: bool) {
         match is_trial {
             true => self.trials.insert(worker),
             false => self.trials.remove(&worker),
@@ -127,7 +127,7 @@
     }
 
     /// Lets a job's tasks go back to workers on which they failed.
-    pub fn forgive(&mut self, job: &JobName) {
+    pub fn clear_avoided(&mut self, job: &JobName) {
         self.avoid.remove(job);
         self.lap += 1;
         if let Some(bundle) = self.queue.get_mut(job) {
@@ -136,12 +136,12 @@
     }
 
     /// Gives a placed task.
-    pub fn placed(&self, task: &TaskId) -> Option<&Placed> {
+    pub fn placed(&self, task: &TaskId) -> Option<&PlacedTask> {
         self.placed.get(task)
     }
 
     /// Gives all placed tasks.
-    pub fn all_placed(&self) -> impl Iterator<Item = (&TaskId, &Placed)> {
+    pub fn all_placed(&self) -> impl Iterator<Item = (&TaskId, &PlacedTask)> {
         self.placed.iter()
     }
 
@@ -151,12 +151,12 @@
     }
 
     /// Gives the tasks that wait.
-    pub fn queue(&self) -> &Queue {
+    pub fn queue(&self) -> &WaitingTasks {
         &self.queue
     }
 
     /// Tells that the rules or workers changed, so that stuck work is looked at again.
-    pub fn look_again(&mut self) {
+    pub fn reexamine_stuck(&mut self) {
         self.lap += 1;
     }
 
@@ -180,7 +180,7 @@
             self.plan_class(now, class, budget, &mut round);
         }
         let is_tried = round.decisions.len() < budget && self.queue.is_tried();
-        if is_tried && !self.policy.only_fixed {
+        if is_tried && !self.policy.only_immovable {
             self.settled_lap = Some(round.lap);
         }
         self.freed_seen = self.ledger.freed();
@@ -221,7 +221,7 @@
             JobKind::Gang => bundle.waiting.iter().copied().collect(),
             _ => bundle.waiting.iter().take(1).copied().collect(),
         };
-        let barred = self.policy.only_fixed && spec.may_move;
+        let barred = self.policy.only_immovable && spec.may_move;
         if barred || bundle.stuck_at == Some(self.ledger.freed()) {
             return false;
         }
@@ -234,7 +234,7 @@
             false => self.place_all(now, &spec, generation, &tasks),
         };
         if found.is_none() && self.avoids_too_many(&spec, tasks.len()) {
-            self.forgive(job);
+            self.clear_avoided(job);
             found = self.place_all(now, &spec, generation, &tasks);
         }
         if let Some(starts) = found {
@@ -243,7 +243,7 @@
         }
         if let Some(reason) = self.why_hopeless(&spec, tasks.len()) {
             self.withdraw(job);
-            round.decisions.push(Decision::Hopeless { job: job.clone(), reason });
+            round.decisions.push(Decision::Unplaceable { job: job.clone(), reason });
             return true;
         }
         if tasks.len() == 1 && !self.avoid.contains_key(job) {
--- a/components/placement/src/policy.rs
+++ b/components/placement/src/policy.rs
@@ -16,7 +16,7 @@
     /// Whether short work may start on workers that a gang waits for.
     pub backfill: bool,
     /// Whether only tasks that may not move are started.
-    pub only_fixed: bool,
+    pub only_immovable: bool,
     /// The organisations' ceilings in this zone.
     pub quotas: BTreeMap<Name, Size>,
 }
@@ -27,7 +27,7 @@
             profile: Profile::Waiting,
             baseline: None,
             backfill: true,
-            only_fixed: false,
+            only_immovable: false,
             quotas: BTreeMap::new(),
         }
     }
--- a/components/placement/src/search.rs
+++ b/components/placement/src/search.rs
@@ -12,9 +12,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Preference {
     /// The one with the least free, so that large rooms stay whole.
-    Tightest,
+    LeastFree,
     /// The one with the most free, so that neighbours disturb each other least.
-    Roomiest,
+    MostFree,
 }
 
 /// How many tasks of one job stand on each rack and worker.
@@ -57,7 +57,7 @@
 }
 
 /// What is asked of the ledger.
-pub struct Ask<'a> {
+pub struct PlacementRequest<'a> {
     /// What the task takes.
     pub size: Size,
     /// Which worker is taken among those that fit.
@@ -72,7 +72,7 @@
     /// Finds the worker for one task: of those that fit and are not skipped, for a spread job the
     /// one with the fewest of its tasks on its rack, then on itself; then by preference; then the
     /// lowest number.
-    pub fn find_room(&self, ask: &Ask<'_>) -> Option<WorkerIndex> {
+    pub fn select_worker(&self, ask: &PlacementRequest<'_>) -> Option<WorkerIndex> {
         let fits = |ix: WorkerIndex| ask.size.fits(&self.free(ix)) && !(ask.skip)(ix);
         let Some(counts) = ask.spread else {
             return self.by_preference(ask, &fits);
@@ -84,18 +84,18 @@
 
     fn by_preference(
         &self,
-        ask: &Ask<'_>,
+        ask: &PlacementRequest<'_>,
         accepts: &dyn Fn(WorkerIndex) -> bool,
     ) -> Option<WorkerIndex> {
         match ask.preference {
-            Preference::Tightest => self.index().lightest(&ask.size, accepts),
-            Preference::Roomiest => self.index().heaviest(&ask.size, accepts),
+            Preference::LeastFree => self.index().lightest(&ask.size, accepts),
+            Preference::MostFree => self.index().heaviest(&ask.size, accepts),
         }
     }
 
     fn least_crowded(
         &self,
-        ask: &Ask<'_>,
+        ask: &PlacementRequest<'_>,
         counts: &SpreadCounts,
         fits: &dyn Fn(WorkerIndex) -> bool,
     ) -> Option<WorkerIndex> {
@@ -110,7 +110,7 @@
 /// Gives a key that is smallest for the preferred worker.
 pub(crate) fn preference_key(preference: Preference, free: &Size) -> u64 {
     match preference {
-        Preference::Tightest => weight(free),
-        Preference::Roomiest => u64::MAX - weight(free),
+        Preference::LeastFree => weight(free),
+        Preference::MostFree => u64::MAX - weight(free),
     }
 }
--- a/components/placement/src/queue.rs
+++ b/components/placement/src/waiting_tasks.rs
@@ -6,12 +6,12 @@
 use clock::Millis;
 use model::{Class, JobName, JobSpec, Name};
 
-use crate::line::{Line, Walk};
+use crate::organisation_queue::{Line, Walk};
 use crate::preempt::RoomSearch;
 
 /// The waiting tasks of one job.
 #[derive(Clone, Debug)]
-pub struct Bundle {
+pub struct WaitingJob {
     /// The job.
     pub spec: Arc<JobSpec>,
     /// The version that created the job; told to the workers with each task.
@@ -30,14 +30,14 @@
 
 /// All bundles: by class, then organisation, then age.
 #[derive(Clone, Debug, Default)]
-pub struct Queue {
-    bundles: BTreeMap<JobName, Bundle>,
+pub struct WaitingTasks {
+    bundles: BTreeMap<JobName, WaitingJob>,
     lines: BTreeMap<Class, BTreeMap<Name, Line>>,
     next_order: u64,
     waiting: usize,
 }
 
-impl Queue {
+impl WaitingTasks {
     /// Adds tasks of a job, behind what its organisation has waiting already.
     pub fn add(
         &mut self,
@@ -47,7 +47,7 @@
         tasks: impl IntoIterator<Item = u32>,
     ) {
         let order = self.next_order;
-        let bundle = self.bundles.entry(spec.name.clone()).or_insert_with(|| Bundle {
+        let bundle = self.bundles.entry(spec.name.clone()).or_insert_with(|| WaitingJob {
             spec: spec.clone(),
             generation,
             waiting: BTreeSet::new(),
@@ -86,7 +86,7 @@
     }
 
     /// Takes all of a job's waiting tasks out, in one step however many there are.
-    pub fn remove(&mut self, job: &JobName) -> Option<Bundle> {
+    pub fn remove(&mut self, job: &JobName) -> Option<WaitingJob> {
         let bundle = self.bundles.remove(job)?;
         self.waiting -= bundle.waiting.len();
         if let Some(organisations) = self.lines.get_mut(&bundle.spec.class)
@@ -101,16 +101,16 @@
     }
 
     /// Gives a job's bundle.
-    pub fn get(&self, job: &JobName) -> Option<&Bundle> {
+    pub fn get(&self, job: &JobName) -> Option<&WaitingJob> {
         self.bundles.get(job)
     }
 
-    pub(crate) fn get_mut(&mut self, job: &JobName) -> Option<&mut Bundle> {
+    pub(crate) fn get_mut(&mut self, job: &JobName) -> Option<&mut WaitingJob> {
         self.bundles.get_mut(job)
     }
 
     /// Gives all bundles by job name.
-    pub fn iter(&self) -> impl Iterator<Item = &Bundle> {
+    pub fn iter(&self) -> impl Iterator<Item = &WaitingJob> {
         self.bundles.values()
     }
 
@@ -134,7 +134,7 @@
         class: Class,
         organisation: &Name,
         walk: &Walk,
-    ) -> Option<&Bundle> {
+    ) -> Option<&WaitingJob> {
         let job = self.lines.get(&class)?.get(organisation)?.next(walk)?;
         self.bundles.get(job)
     }
--- a/components/placement/tests/differential.rs
+++ b/components/placement/tests/differential.rs
@@ -6,8 +6,8 @@
 use clock::Millis;
 use model::{Class, JobKind, JobSpec, Profile, Size, Spread, TaskId};
 use placement::{
-    Ask, Decision, Ledger, Planner, Policy, Preference, SpreadCounts, WorkerIndex, WorkerInfo,
-    place_plainly,
+    Decision, Ledger, PlacementRequest, Planner, Policy, Preference, SpreadCounts, WorkerIndex,
+    WorkerInfo, select_worker_by_scan,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -50,9 +50,14 @@
                 let size = size(&mut rng);
                 let skipped = WorkerIndex(rng.random_range(0..60));
                 let skip = move |ix: WorkerIndex| ix == skipped;
-                let ask = Ask { size, preference, spread: spread.then_some(&counts), skip: &skip };
-                let indexed = ledger.find_room(&ask);
-                assert_eq!(indexed, place_plainly(&ledger, &ask), "size {size}");
+                let ask = PlacementRequest {
+                    size,
+                    preference,
+                    spread: spread.then_some(&counts),
+                    skip: &skip,
+                };
+                let indexed = ledger.select_worker(&ask);
+                assert_eq!(indexed, select_worker_by_scan(&ledger, &ask), "size {size}");
                 if let Some(ix) = indexed {
                     found += 1;
                     assert!(ledger.reserve(ix, &size));
@@ -85,10 +90,10 @@
 }
 
 same! {
-    tightest_without_spread: 1, Tightest, false;
-    tightest_with_spread: 2, Tightest, true;
-    roomiest_without_spread: 3, Roomiest, false;
-    roomiest_with_spread: 4, Roomiest, true;
+    tightest_without_spread: 1, LeastFree, false;
+    tightest_with_spread: 2, LeastFree, true;
+    roomiest_without_spread: 3, MostFree, false;
+    roomiest_with_spread: 4, MostFree, true;
 }
 
 #[test]
@@ -244,7 +249,7 @@
         .plan(Millis(0), 100)
         .into_iter()
         .filter_map(|d| match d {
-            Decision::Hopeless { job, .. } => Some(job.to_string()),
+            Decision::Unplaceable { job, .. } => Some(job.to_string()),
             _ => None,
         })
         .collect();
--- a/components/placement/tests/starvation.rs
+++ b/components/placement/tests/starvation.rs
@@ -115,7 +115,7 @@
             for change in 0..3 {
                 let settled = plans_until_settled(&mut planner, $plans);
                 assert!(settled.is_some(), "not within {} plans, change {change}", $plans);
-                planner.look_again();
+                planner.reexamine_stuck();
                 assert!(!planner.is_settled());
             }
         }
--- a/components/routing/src/broker.rs
+++ b/components/routing/src/broker.rs
@@ -27,12 +27,12 @@
     /// The newest epoch that the asker knows; it takes loans of this one only.
     pub epoch: Epoch,
     /// What it asks of each upstream.
-    pub wishes: Vec<Wish>,
+    pub upstream_demands: Vec<UpstreamDemand>,
 }
 
 /// What an instance asks of one upstream, in slots beyond its own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Wish {
+pub struct UpstreamDemand {
     /// The upstream.
     pub upstream: Name,
     /// How many it has requests in.
@@ -125,8 +125,8 @@
         }
         *last = heard;
         self.unheard.remove(&demand.instance);
-        let mut slots = Vec::with_capacity(demand.wishes.len());
-        for wish in &demand.wishes {
+        let mut slots = Vec::with_capacity(demand.upstream_demands.len());
+        for wish in &demand.upstream_demands {
             let granted = self.lend(now, &demand.instance, wish, pool);
             slots.push(LentSlots { upstream: wish.upstream.clone(), slots: granted });
         }
@@ -134,7 +134,13 @@
         Some(Loan { epoch, instance, process: demand.process, seq: demand.seq, slots })
     }
 
-    fn lend(&mut self, now: Millis, borrower: &InstanceId, wish: &Wish, pool: u32) -> u32 {
+    fn lend(
+        &mut self,
+        now: Millis,
+        borrower: &InstanceId,
+        wish: &UpstreamDemand,
+        pool: u32,
+    ) -> u32 {
         let open = self.unheard.is_empty() || now >= self.opens_at;
         let lent = self.lent.entry(wish.upstream.clone()).or_default();
         lent.retain(|_, l| (l.slots > 0 || l.wanted > 0) && now < l.surely_free_at);
@@ -171,7 +177,7 @@
 
 /// What an instance has borrowed.
 #[derive(Clone, Debug, Default)]
-pub struct LoanBook {
+pub struct BorrowedSlots {
     epoch: Epoch,
     process: u64,
     seq: u64,
@@ -182,10 +188,10 @@
     until: Millis,
 }
 
-impl LoanBook {
+impl BorrowedSlots {
     /// Starts a book for a process; a later process of the same instance has a higher number.
-    pub fn new(process: u64) -> LoanBook {
-        LoanBook { process, ..LoanBook::default() }
+    pub fn new(process: u64) -> BorrowedSlots {
+        BorrowedSlots { process, ..BorrowedSlots::default() }
     }
 
     /// Writes the next demand.
@@ -194,13 +200,13 @@
         now: Millis,
         epoch: Epoch,
         instance: &InstanceId,
-        wishes: Vec<Wish>,
+        upstream_demands: Vec<UpstreamDemand>,
     ) -> Demand {
         self.seq += 1;
         self.asked_at = now;
         self.epoch = self.epoch.max(epoch);
         let (process, seq, epoch) = (self.process, self.seq, self.epoch);
-        Demand { instance: instance.clone(), process, seq, epoch, wishes }
+        Demand { instance: instance.clone(), process, seq, epoch, upstream_demands }
     }
 
     /// Takes in a loan. It counts from when its demand was sent, whenever it arrives.
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -6,17 +6,17 @@
 
 mod broker;
 mod budget;
-mod pick;
 mod queue;
 mod request;
 mod router;
-mod share;
+mod slot_share;
 mod upstream;
+mod upstream_selection;
 
-pub use broker::{Broker, Demand, LentSlots, Loan, LoanBook, Wish};
+pub use broker::{BorrowedSlots, Broker, Demand, LentSlots, Loan, UpstreamDemand};
 pub use budget::RetryBudget;
-pub use pick::Pick;
 pub use request::RequestInfo;
-pub use router::{Admission, Dispatch, Ending, Router, RouterConfig};
-pub use share::{ShareWay, base_share, pool};
+pub use router::{Admission, Dispatch, RequestOutcome, Router, RouterConfig};
+pub use slot_share::{SlotSharing, base_share, lendable_slots};
 pub use upstream::{Target, TargetState};
+pub use upstream_selection::SelectionPolicy;
--- a/components/routing/src/router.rs
+++ b/components/routing/src/router.rs
@@ -7,13 +7,13 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use crate::broker::{Demand, LoanBook, Wish};
+use crate::broker::{BorrowedSlots, Demand, UpstreamDemand};
 use crate::budget::RetryBudget;
-use crate::pick::{Candidate, Pick};
 use crate::queue::{Spot, WaitQueue, Waiting};
 use crate::request::RequestInfo;
-use crate::share::{ShareWay, base_share};
+use crate::slot_share::{SlotSharing, base_share};
 use crate::upstream::{MICROS, Target, TargetState};
+use crate::upstream_selection::{Candidate, SelectionPolicy};
 
 /// The part of the queue's limit that each class may see ahead of it, in percent.
 const CLASS_PERCENT: [(Class, u64); 3] =
@@ -31,9 +31,9 @@
 #[derive(Clone, Debug)]
 pub struct RouterConfig {
     /// How the instances of a zone divide an upstream's slots.
-    pub way: ShareWay,
+    pub sharing: SlotSharing,
     /// How an upstream is picked.
-    pub pick: Pick,
+    pub selection: SelectionPolicy,
     /// An upstream's slots, over all instances.
     pub slots: u32,
     /// The most instances a zone has.
@@ -85,7 +85,7 @@
 
 /// How a request ended at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestOutcome {
     /// It was answered.
     Answered {
         /// How long it took, in thousandths of a millisecond.
@@ -98,7 +98,7 @@
     /// The upstream failed.
     Failed,
     /// The caller gave up, which says nothing about the upstream.
-    GivenUp,
+    Abandoned,
 }
 
 /// Routes the requests of one instance.
@@ -109,7 +109,7 @@
     places: BTreeMap<Name, usize>,
     queue: WaitQueue,
     budget: RetryBudget,
-    loans: LoanBook,
+    loans: BorrowedSlots,
     rng: StdRng,
     latency: u64,
 }
@@ -123,7 +123,7 @@
             targets: Vec::new(),
             places: BTreeMap::new(),
             queue: WaitQueue::default(),
-            loans: LoanBook::new(process),
+            loans: BorrowedSlots::new(process),
             rng: StdRng::seed_from_u64(seed),
             latency: UNKNOWN_LATENCY,
         }
@@ -166,7 +166,7 @@
     }
 
     /// Gives the loan book.
-    pub fn loans_mut(&mut self) -> &mut LoanBook {
+    pub fn loans_mut(&mut self) -> &mut BorrowedSlots {
         &mut self.loans
     }
 
@@ -181,7 +181,7 @@
     }
 
     fn base(&self) -> u32 {
-        base_share(self.cfg.way, self.cfg.slots, self.cfg.instances)
+        base_share(self.cfg.sharing, self.cfg.slots, self.cfg.instances)
     }
 
     fn share(&self, now: Millis, name: &Name) -> u32 {
@@ -189,7 +189,7 @@
     }
 
     /// Decides on a request that arrives.
-    pub fn arrive(&mut self, now: Millis, info: RequestInfo) -> Admission {
+    pub fn admit(&mut self, now: Millis, info: RequestInfo) -> Admission {
         if now >= info.deadline {
             let retry_after = SHORTEST_RETRY_AFTER;
             return Admission::Refuse { reason: Refusal::DeadlinePassed, retry_after };
@@ -236,7 +236,7 @@
             share: base + loans.slots(now, &target.name),
         });
         let allowed = candidates.filter(|c| may_go(queue, &c.target.name));
-        self.cfg.pick.choose(now, &mut self.rng, allowed)
+        self.cfg.selection.choose(now, &mut self.rng, allowed)
     }
 
     fn start(&mut self, place: usize) -> Name {
@@ -246,21 +246,21 @@
     }
 
     /// Notes that a request ended at an upstream, and dispatches those that waited for room.
-    pub fn ended(&mut self, now: Millis, upstream: &Name, ending: Ending) -> Vec<Dispatch> {
+    pub fn ended(&mut self, now: Millis, upstream: &Name, ending: RequestOutcome) -> Vec<Dispatch> {
         let share = self.share(now, upstream);
         if let Some(&place) = self.places.get(upstream) {
             let target = &mut self.targets[place];
             target.in_flight = target.in_flight.saturating_sub(1);
             match ending {
-                Ending::Answered { micros, load } => {
+                RequestOutcome::Answered { micros, load } => {
                     target.note_success(micros, share);
                     target.reported_load = load.unwrap_or(target.reported_load);
                     self.latency = self.latency - self.latency / 16 + micros / 16;
                     self.budget.earn();
                 }
-                Ending::Busy => target.note_busy(share),
-                Ending::Failed => target.note_failure(now),
-                Ending::GivenUp => {}
+                RequestOutcome::Busy => target.note_busy(share),
+                RequestOutcome::Failed => target.note_failure(now),
+                RequestOutcome::Abandoned => {}
             }
         }
         self.dispatch(now)
@@ -334,7 +334,7 @@
     }
 
     /// Takes out a request whose caller has gone.
-    pub fn give_up(&mut self, id: u64) {
+    pub fn cancel(&mut self, id: u64) {
         self.queue.take_out(|w| w.info.id == id);
     }
 
@@ -360,9 +360,9 @@
             let live = t.state == TargetState::Live;
             let wanted = if live { ahead + queued } else { 0 };
             let held = self.loans.slots(now, &t.name);
-            Wish { upstream: t.name.clone(), used, held, wanted }
+            UpstreamDemand { upstream: t.name.clone(), used, held, wanted }
         };
-        let wishes = self.targets.iter().map(wish).collect();
-        self.loans.demand(now, epoch, instance, wishes)
+        let upstream_demands = self.targets.iter().map(wish).collect();
+        self.loans.demand(now, epoch, instance, upstream_demands)
     }
 }
--- a/components/routing/src/pick.rs
+++ b/components/routing/src/upstream_selection.rs
@@ -8,7 +8,7 @@
 
 /// How an upstream is picked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pick {
+pub enum SelectionPolicy {
     /// The one with the fewest of this instance's requests.
     LeastInFlight,
     /// The one where the wait is expected to be shortest: its latency times the requests there.
@@ -24,7 +24,7 @@
     pub(crate) share: u32,
 }
 
-impl Pick {
+impl SelectionPolicy {
     /// Picks among `candidates` those with room.
     pub(crate) fn choose<'a>(
         self,
@@ -34,9 +34,9 @@
     ) -> Option<usize> {
         let with_room = candidates.filter(|c| c.target.room(now, c.share) > 0);
         match self {
-            Pick::LeastInFlight => smallest(rng, with_room, |t| u64::from(t.in_flight)),
-            Pick::ShortestWait => smallest(rng, with_room, Target::cost),
-            Pick::TwoChoices => {
+            SelectionPolicy::LeastInFlight => smallest(rng, with_room, |t| u64::from(t.in_flight)),
+            SelectionPolicy::ShortestWait => smallest(rng, with_room, Target::cost),
+            SelectionPolicy::TwoChoices => {
                 let all: Vec<Candidate<'a>> = with_room.collect();
                 two_choices(rng, &all)
             }
--- a/components/routing/tests/left_alone.rs
+++ b/components/routing/tests/left_alone.rs
@@ -7,7 +7,8 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use routing::{
-    Admission, Dispatch, Ending, Pick, RequestInfo, Router, RouterConfig, ShareWay, TargetState,
+    Admission, Dispatch, RequestInfo, RequestOutcome, Router, RouterConfig, SelectionPolicy,
+    SlotSharing, TargetState,
 };
 
 /// How many requests an upstream takes from this instance.
@@ -16,7 +17,7 @@
 const TICK: u64 = 10;
 /// How long a request runs at an upstream.
 const RUN: u64 = 10;
-const OK: Ending = Ending::Answered { micros: 10_000, load: None };
+const OK: RequestOutcome = RequestOutcome::Answered { micros: 10_000, load: None };
 
 fn name(i: u64) -> Name {
     format!("w{i}").as_str().into()
@@ -24,8 +25,8 @@
 
 fn router(upstreams: u64) -> Router {
     let cfg = RouterConfig {
-        way: ShareWay::Fixed,
-        pick: Pick::ShortestWait,
+        sharing: SlotSharing::Fixed,
+        selection: SelectionPolicy::ShortestWait,
         slots: 2 * SHARE as u32,
         instances: 2,
         queue_limit: Millis(QUEUE_LIMIT),
@@ -43,17 +44,17 @@
 /// Has requests fail, each upstream as often in a row as it takes to be left alone.
 fn fail_everywhere(r: &mut Router, now: u64, upstreams: u64) {
     for id in 0..3 * upstreams {
-        if let Admission::Send(to) = r.arrive(Millis(now), request(1_000_000 + id)) {
-            r.ended(Millis(now), &to, Ending::Failed);
+        if let Admission::Send(to) = r.admit(Millis(now), request(1_000_000 + id)) {
+            r.ended(Millis(now), &to, RequestOutcome::Failed);
         } else {
-            r.give_up(1_000_000 + id);
+            r.cancel(1_000_000 + id);
         }
     }
 }
 
 /// Gives when a request is sent that arrives at `now`, or nothing if it is refused.
 fn sent_at(r: &mut Router, now: u64) -> Option<u64> {
-    match r.arrive(Millis(now), request(1)) {
+    match r.admit(Millis(now), request(1)) {
         Admission::Send(_) => return Some(now),
         Admission::Refuse { .. } => return None,
         Admission::Wait => {}
@@ -93,16 +94,16 @@
     let mut r = router(2);
     let mut sent: Vec<Name> = Vec::new();
     for id in 0..2 * SHARE {
-        if let Admission::Send(to) = r.arrive(Millis(0), request(id)) {
+        if let Admission::Send(to) = r.admit(Millis(0), request(id)) {
             sent.push(to);
         }
     }
     for to in &sent {
-        let ending = if *to == name(0) { Ending::Failed } else { OK };
+        let ending = if *to == name(0) { RequestOutcome::Failed } else { OK };
         r.ended(Millis(5), to, ending);
     }
     let mut to = BTreeSet::new();
-    while let Admission::Send(upstream) = r.arrive(Millis(600), request(100 + to.len() as u64)) {
+    while let Admission::Send(upstream) = r.admit(Millis(600), request(100 + to.len() as u64)) {
         to.insert(upstream.clone());
     }
     assert!(to.contains(&name(0)), "left alone for longer than the first time");
@@ -127,13 +128,13 @@
         let mut dispatches = Vec::new();
         let over: Vec<(u64, u64, Name)> = running.extract_if(.., |r| r.0 <= now).collect();
         for (_, id, to) in over {
-            let ending = if faulty[&id] { Ending::Failed } else { OK };
+            let ending = if faulty[&id] { RequestOutcome::Failed } else { OK };
             counts.well += u32::from(!faulty[&id]);
             dispatches.extend(r.ended(Millis(now), &to, ending));
         }
         if now % 2 == 0 {
             faulty.insert(now, rng.random_range(0..100) < percent);
-            match r.arrive(Millis(now), request(now)) {
+            match r.admit(Millis(now), request(now)) {
                 Admission::Send(to) => running.push((now + RUN, now, to)),
                 Admission::Refuse { .. } => counts.refused += u32::from(!faulty[&now]),
                 Admission::Wait => {}
@@ -166,14 +167,14 @@
     let mut r = router(20);
     let mut failures = 0;
     for now in 0..10_000 {
-        if let Admission::Send(to) = r.arrive(Millis(now), request(now)) {
+        if let Admission::Send(to) = r.admit(Millis(now), request(now)) {
             failures += 1;
-            r.ended(Millis(now), &to, Ending::Failed);
+            r.ended(Millis(now), &to, RequestOutcome::Failed);
         }
         for dispatch in r.tick(Millis(now)) {
             if let Dispatch::Send { upstream, .. } = dispatch {
                 failures += 1;
-                r.ended(Millis(now), &upstream, Ending::Failed);
+                r.ended(Millis(now), &upstream, RequestOutcome::Failed);
             }
         }
     }
@@ -189,10 +190,10 @@
             let mut r = router($upstreams);
             let mut failures = 0;
             for now in 0..20_000 {
-                if let Admission::Send(to) = r.arrive(Millis(now), request(now)) {
+                if let Admission::Send(to) = r.admit(Millis(now), request(now)) {
                     let fails = (0..$failing).any(|i| to == name(i));
                     failures += u32::from(fails);
-                    r.ended(Millis(now), &to, if fails { Ending::Failed } else { OK });
+                    r.ended(Millis(now), &to, if fails { RequestOutcome::Failed } else { OK });
                 }
                 r.tick(Millis(now));
             }
--- a/components/routing/tests/router.rs
+++ b/components/routing/tests/router.rs
@@ -8,17 +8,18 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use routing::{
-    Admission, Broker, Dispatch, Ending, LoanBook, Pick, RequestInfo, RetryBudget, Router,
-    RouterConfig, ShareWay, TargetState, Wish, base_share, pool,
+    Admission, BorrowedSlots, Broker, Dispatch, RequestInfo, RequestOutcome, RetryBudget, Router,
+    RouterConfig, SelectionPolicy, SlotSharing, TargetState, UpstreamDemand, base_share,
+    lendable_slots,
 };
 
 const LONGEST: Millis = Millis(2_000);
-const OK: Ending = Ending::Answered { micros: 10_000, load: None };
+const OK: RequestOutcome = RequestOutcome::Answered { micros: 10_000, load: None };
 
-fn config(way: ShareWay) -> RouterConfig {
+fn config(sharing: SlotSharing) -> RouterConfig {
     RouterConfig {
-        way,
-        pick: Pick::ShortestWait,
+        sharing,
+        selection: SelectionPolicy::ShortestWait,
         slots: 8,
         instances: 2,
         queue_limit: Millis(200),
@@ -31,7 +32,7 @@
 }
 
 fn router(upstreams: usize) -> Router {
-    let mut router = Router::new(config(ShareWay::Fixed), 1, 1);
+    let mut router = Router::new(config(SlotSharing::Fixed), 1, 1);
     let targets = (0..upstreams).map(|i| (name(i), TargetState::Live)).collect();
     router.set_targets(&targets);
     router
@@ -45,11 +46,10 @@
 fn fill(router: &mut Router, now: u64) -> Vec<Name> {
     let mut sent = Vec::new();
     loop {
-        match router.arrive(Millis(now), request(1_000 + sent.len() as u64, Class::Normal, 60_000))
-        {
+        match router.admit(Millis(now), request(1_000 + sent.len() as u64, Class::Normal, 60_000)) {
             Admission::Send(upstream) => sent.push(upstream),
             Admission::Wait => {
-                router.give_up(1_000 + sent.len() as u64);
+                router.cancel(1_000 + sent.len() as u64);
                 return sent;
             }
             Admission::Refuse { .. } => return sent,
@@ -72,7 +72,7 @@
     let mut r = router(1);
     let sent = fill(&mut r, 0);
     for (id, class) in [(1, Class::Bulk), (2, Class::Normal), (3, Class::Urgent)] {
-        assert_eq!(r.arrive(Millis(0), request(id, class, 9_000)), Admission::Wait);
+        assert_eq!(r.admit(Millis(0), request(id, class, 9_000)), Admission::Wait);
     }
     let mut order = Vec::new();
     for upstream in sent.iter().take(3) {
@@ -92,7 +92,7 @@
         fn $name() {
             let prepare: fn() -> Router = $prepare;
             let mut r = prepare();
-            match r.arrive(Millis(100), $request) {
+            match r.admit(Millis(100), $request) {
                 Admission::Refuse { reason, retry_after } => {
                     assert_eq!(reason, Refusal::$reason);
                     assert!(retry_after >= Millis(50) && retry_after < Millis(60_000));
@@ -108,12 +108,12 @@
     fill(&mut r, 0);
     // Slow answers teach the router how long a place in the queue takes.
     for _ in 0..60 {
-        r.ended(Millis(0), &name(0), Ending::Answered { micros: 400_000, load: None });
-        r.arrive(Millis(0), request(1, Class::Normal, 60_000));
+        r.ended(Millis(0), &name(0), RequestOutcome::Answered { micros: 400_000, load: None });
+        r.admit(Millis(0), request(1, Class::Normal, 60_000));
     }
     for id in 100..200 {
         if matches!(
-            r.arrive(Millis(0), request(id, Class::Urgent, 60_000)),
+            r.admit(Millis(0), request(id, Class::Urgent, 60_000)),
             Admission::Refuse { .. }
         ) {
             break;
@@ -139,8 +139,8 @@
 fn bulk_is_shed_before_urgent_work_is() {
     let mut r = router(1);
     fill(&mut r, 0);
-    assert_eq!(r.arrive(Millis(0), request(1, Class::Bulk, 9_000)), Admission::Wait);
-    assert_eq!(r.arrive(Millis(0), request(2, Class::Normal, 9_000)), Admission::Wait);
+    assert_eq!(r.admit(Millis(0), request(1, Class::Bulk, 9_000)), Admission::Wait);
+    assert_eq!(r.admit(Millis(0), request(2, Class::Normal, 9_000)), Admission::Wait);
     let shed = r.shed_below(Millis(0), Class::Urgent);
     assert!(matches!(shed, Some(Dispatch::Refuse { id: 1, reason: Refusal::Overloaded, .. })));
     let shed = r.shed_below(Millis(0), Class::Urgent);
@@ -152,7 +152,7 @@
 fn one_that_waits_too_long_is_refused_by_the_next_tick() {
     let mut r = router(1);
     fill(&mut r, 0);
-    assert_eq!(r.arrive(Millis(0), request(1, Class::Urgent, 9_000)), Admission::Wait);
+    assert_eq!(r.admit(Millis(0), request(1, Class::Urgent, 9_000)), Admission::Wait);
     assert!(r.tick(Millis(200)).is_empty());
     let late = r.tick(Millis(201));
     assert!(matches!(late[..], [Dispatch::Refuse { id: 1, reason: Refusal::Overloaded, .. }]));
@@ -162,8 +162,8 @@
 fn one_whose_caller_has_gone_is_never_sent() {
     let mut r = router(1);
     let sent = fill(&mut r, 0);
-    r.arrive(Millis(0), request(1, Class::Urgent, 9_000));
-    r.give_up(1);
+    r.admit(Millis(0), request(1, Class::Urgent, 9_000));
+    r.cancel(1);
     assert!(r.ended(Millis(1), &sent[0], OK).is_empty());
 }
 
@@ -195,12 +195,11 @@
     let mut failures = 0;
     while failures < 3 {
         now += 1;
-        if let Admission::Send(upstream) =
-            r.arrive(Millis(now), request(now, Class::Normal, 99_000))
+        if let Admission::Send(upstream) = r.admit(Millis(now), request(now, Class::Normal, 99_000))
         {
             let failed = upstream == name(0);
             failures += usize::from(failed);
-            r.ended(Millis(now), &upstream, if failed { Ending::Failed } else { OK });
+            r.ended(Millis(now), &upstream, if failed { RequestOutcome::Failed } else { OK });
         }
     }
     assert!(fill(&mut r, now + 1).iter().all(|n| *n == name(1)));
@@ -212,13 +211,13 @@
 fn a_slow_upstream_gets_less() {
     let mut r = router(2);
     for i in 0..200 {
-        if let Admission::Send(upstream) = r.arrive(Millis(i), request(i, Class::Normal, 99_000)) {
+        if let Admission::Send(upstream) = r.admit(Millis(i), request(i, Class::Normal, 99_000)) {
             let micros = if upstream == name(0) { 200_000 } else { 10_000 };
-            r.ended(Millis(i), &upstream, Ending::Answered { micros, load: None });
+            r.ended(Millis(i), &upstream, RequestOutcome::Answered { micros, load: None });
         }
     }
     let to_fast = (0..3).filter(|&i| {
-        matches!(r.arrive(Millis(300), request(i, Class::Normal, 99_000)), Admission::Send(n) if n == name(1))
+        matches!(r.admit(Millis(300), request(i, Class::Normal, 99_000)), Admission::Send(n) if n == name(1))
     });
     assert_eq!(to_fast.count(), 3);
 }
@@ -228,13 +227,13 @@
     let mut r = router(1);
     let sent = fill(&mut r, 0);
     sent.iter().for_each(|n| {
-        r.ended(Millis(1), n, Ending::Busy);
+        r.ended(Millis(1), n, RequestOutcome::Busy);
     });
     let lowered = fill(&mut r, 2).len();
     assert!((1..4).contains(&lowered), "{lowered}");
     for i in 0..200 {
         r.ended(Millis(3 + i), &name(0), OK);
-        r.arrive(Millis(3 + i), request(i, Class::Normal, 99_000));
+        r.admit(Millis(3 + i), request(i, Class::Normal, 99_000));
     }
     (0..lowered + 1).for_each(|_| {
         r.ended(Millis(400), &name(0), OK);
@@ -245,14 +244,14 @@
 #[test]
 fn a_retry_goes_elsewhere_and_is_paid_for() {
     let mut r = router(2);
-    let Admission::Send(first) = r.arrive(Millis(0), request(1, Class::Normal, 9_000)) else {
+    let Admission::Send(first) = r.admit(Millis(0), request(1, Class::Normal, 9_000)) else {
         panic!("there is room");
     };
-    r.ended(Millis(1), &first, Ending::Failed);
+    r.ended(Millis(1), &first, RequestOutcome::Failed);
     let tried = BTreeSet::from([first.clone()]);
     let again = RequestInfo { tried, ..request(1, Class::Normal, 9_000) };
     assert!(r.may_retry(Millis(1), &again));
-    assert!(matches!(r.arrive(Millis(1), again.clone()), Admission::Send(n) if n != first));
+    assert!(matches!(r.admit(Millis(1), again.clone()), Admission::Send(n) if n != first));
     assert!(!r.may_retry(Millis(9_000), &again), "not beyond the deadline");
     let everywhere = RequestInfo { tried: BTreeSet::from([name(0), name(1)]), ..again };
     assert!(!r.may_retry(Millis(1), &everywhere), "not to the same upstream");
@@ -276,12 +275,12 @@
 
 #[test]
 fn shares_never_add_up_to_more_than_the_slots() {
-    for way in [ShareWay::Fixed, ShareWay::Borrowed] {
+    for sharing in [SlotSharing::Fixed, SlotSharing::Borrowed] {
         for slots in 1..20 {
             for instances in 1..=slots {
-                let base = base_share(way, slots, instances);
-                assert!(base >= 1 || way == ShareWay::Fixed);
-                assert_eq!(base * instances + pool(way, slots, instances), slots);
+                let base = base_share(sharing, slots, instances);
+                assert!(base >= 1 || sharing == SlotSharing::Fixed);
+                assert_eq!(base * instances + lendable_slots(sharing, slots, instances), slots);
             }
         }
     }
@@ -292,8 +291,8 @@
 fn borrowing(seed: u64) -> u32 {
     let mut rng = StdRng::seed_from_u64(seed);
     let slots = 8;
-    let base = base_share(ShareWay::Borrowed, slots, 2);
-    let lendable = pool(ShareWay::Borrowed, slots, 2);
+    let base = base_share(SlotSharing::Borrowed, slots, 2);
+    let lendable = lendable_slots(SlotSharing::Borrowed, slots, 2);
     let upstream = name(0);
     let mut now = Millis(10_000);
     let mut epoch = 1;
@@ -302,7 +301,7 @@
     // An instance may learn late of a new epoch. An old broker has stopped by then, because its right
     // has run out; its last answers may still be under way.
     let mut known = [1, 1];
-    let mut books = [LoanBook::new(1), LoanBook::new(1)];
+    let mut books = [BorrowedSlots::new(1), BorrowedSlots::new(1)];
     let mut process = 1;
     // When each request under way ends, for each instance.
     let mut under_way: [Vec<Millis>; 2] = [Vec::new(), Vec::new()];
@@ -315,7 +314,7 @@
         match rng.random_range(0..100) {
             0..30 => {
                 let in_flight = under_way[i].len() as u32;
-                let wish = Wish {
+                let wish = UpstreamDemand {
                     upstream: upstream.clone(),
                     used: in_flight.saturating_sub(base),
                     held: books[i].slots(now, &upstream),
@@ -348,7 +347,7 @@
             96..98 => {
                 // The process dies: its connections close, which frees their slots.
                 process += 1;
-                books[i] = LoanBook::new(process);
+                books[i] = BorrowedSlots::new(process);
                 under_way[i].clear();
             }
             98 => {
@@ -384,7 +383,7 @@
             now += rng.random_range(0..20);
             let class = Class::ALL[rng.random_range(0..3)];
             let mut dispatches = Vec::new();
-            match r.arrive(Millis(now), request(id, class, now + rng.random_range(0..300))) {
+            match r.admit(Millis(now), request(id, class, now + rng.random_range(0..300))) {
                 Admission::Send(n) => {
                     *verdicts.entry(id).or_default() += 1;
                     sent.push(n);
@@ -394,7 +393,7 @@
             }
             if !sent.is_empty() && rng.random_range(0..3) > 0 {
                 let n = sent.swap_remove(rng.random_range(0..sent.len()));
-                let ending = [OK, Ending::Busy, Ending::Failed][rng.random_range(0..3)];
+                let ending = [OK, RequestOutcome::Busy, RequestOutcome::Failed][rng.random_range(0..3)];
                 dispatches.extend(r.ended(Millis(now), &n, ending));
             }
             dispatches.extend(r.tick(Millis(now)));
--- a/components/routing/tests/starvation.rs
+++ b/components/routing/tests/starvation.rs
@@ -7,7 +7,8 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use routing::{
-    Admission, Dispatch, Ending, Pick, RequestInfo, Router, RouterConfig, ShareWay, TargetState,
+    Admission, Dispatch, RequestInfo, RequestOutcome, Router, RouterConfig, SelectionPolicy,
+    SlotSharing, TargetState,
 };
 
 /// How many requests an upstream takes from this instance.
@@ -15,7 +16,7 @@
 /// From here on the numbers of the requests that the tests look at begin.
 const FIRST_ID: u64 = 1_000;
 const DEADLINE: Millis = Millis(9_000);
-const OK: Ending = Ending::Answered { micros: 10_000, load: None };
+const OK: RequestOutcome = RequestOutcome::Answered { micros: 10_000, load: None };
 
 fn name(i: u64) -> Name {
     format!("w{i}").as_str().into()
@@ -28,8 +29,8 @@
 /// A router whose share of two upstreams is in use.
 fn full_router() -> Router {
     let cfg = RouterConfig {
-        way: ShareWay::Fixed,
-        pick: Pick::ShortestWait,
+        sharing: SlotSharing::Fixed,
+        selection: SelectionPolicy::ShortestWait,
         slots: 8,
         instances: 2,
         queue_limit: Millis(200),
@@ -38,7 +39,7 @@
     let mut router = Router::new(cfg, 1, 1);
     router.set_targets(&live(2));
     for id in 0..2 * SHARE {
-        assert!(matches!(router.arrive(Millis(0), fresh(id, Class::Normal)), Admission::Send(_)));
+        assert!(matches!(router.admit(Millis(0), fresh(id, Class::Normal)), Admission::Send(_)));
     }
     router
 }
@@ -55,7 +56,7 @@
 /// Lets requests wait, numbered in their order.
 fn wait(router: &mut Router, requests: Vec<RequestInfo>) {
     for request in requests {
-        assert_eq!(router.arrive(Millis(0), request), Admission::Wait);
+        assert_eq!(router.admit(Millis(0), request), Admission::Wait);
     }
 }
 
@@ -80,7 +81,7 @@
             wait(&mut r, vec![fresh(waits, Class::$behind)]);
             assert_eq!(end_one_at(&mut r, 0), [(waits, name(0))], "who waits is sent");
             assert_eq!(end_one_at(&mut r, 0), [], "the retries may not go there");
-            let arrival = r.arrive(Millis(5), fresh(arrives, Class::$behind));
+            let arrival = r.admit(Millis(5), fresh(arrives, Class::$behind));
             assert_eq!(arrival, Admission::Send(name(0)), "who arrives is sent");
             assert_eq!(r.waiting() as u64, $retries);
         }
@@ -106,7 +107,7 @@
     let mut r = full_router();
     wait(&mut r, vec![retry(FIRST_ID, Class::Normal)]);
     r.set_targets(&live(3));
-    assert_eq!(r.arrive(Millis(5), fresh(FIRST_ID + 1, Class::Normal)), Admission::Wait);
+    assert_eq!(r.admit(Millis(5), fresh(FIRST_ID + 1, Class::Normal)), Admission::Wait);
     let sent: Vec<u64> = r
         .tick(Millis(6))
         .into_iter()
@@ -123,7 +124,7 @@
     let mut r = full_router();
     wait(&mut r, vec![retry(FIRST_ID, Class::Bulk)]);
     r.set_targets(&live(3));
-    let arrival = r.arrive(Millis(5), fresh(FIRST_ID + 1, Class::Normal));
+    let arrival = r.admit(Millis(5), fresh(FIRST_ID + 1, Class::Normal));
     assert_eq!(arrival, Admission::Send(name(2)));
 }
 
@@ -142,7 +143,7 @@
                 let class = Class::ALL[rng.random_range(0..3)];
                 let tried = (0..2).filter(|_| rng.random_range(0..3) == 0).map(name).collect();
                 let info = RequestInfo { tried, ..fresh(id, class) };
-                match r.arrive(now, info.clone()) {
+                match r.admit(now, info.clone()) {
                     Admission::Send(to) => {
                         assert!(!info.tried.contains(&to), "seed {seed}");
                         in_flight.push(to);
--- a/components/zone/src/allocator.rs
+++ b/components/zone/src/allocator.rs
@@ -96,7 +96,7 @@
         self.cfg.worker_lease = worker_lease;
         self.planner.policy.profile = profile;
         self.planner.policy.quotas = quotas;
-        self.planner.look_again();
+        self.planner.reexamine_stuck();
     }
 
     /// Takes in the platform's list for this zone. The list lags: a worker that is not on it is
@@ -146,7 +146,7 @@
         let Some(link) = self.links.get(&ix) else { return };
         let open = self.is_in_use(link) && self.health.may_take(ix);
         self.planner.ledger.set_open(ix, open);
-        self.planner.set_trial(ix, self.health.is_on_trial(ix));
+        self.planner.set_probation(ix, self.health.is_on_trial(ix));
     }
 
     /// Tells whether a worker would take tasks if it were in good standing.
@@ -164,7 +164,7 @@
             self.settle_accounts(now);
             self.bound_aside(now);
             self.let_back(now);
-            self.planner.policy.only_fixed = right == Right::ZoneOnly;
+            self.planner.policy.only_immovable = right == Right::ZoneOnly;
             self.start_tasks(now);
         }
         if right == Right::Full {
@@ -192,7 +192,7 @@
             match decision {
                 Decision::Start { task, worker } => self.start(now, task, worker),
                 Decision::Evict { task, worker } => self.evict(task, worker),
-                Decision::Hopeless { job, reason } => self.give_up(&job, reason),
+                Decision::Unplaceable { job, reason } => self.give_up(&job, reason),
             }
         }
     }
--- a/components/zone/src/reports.rs
+++ b/components/zone/src/reports.rs
@@ -231,7 +231,7 @@
                 let avoided = self.planner.avoid(&task.job, ix);
                 if avoided >= self.links.len() {
                     // It failed everywhere once: only more tries can tell whose fault that is.
-                    self.planner.forgive(&task.job);
+                    self.planner.clear_avoided(&task.job);
                 }
             }
         }
