--- a/components/bench/src/log.rs
+++ b/components/bench/src/log.rs
@@ -54,8 +54,8 @@
     let folder = DataFolder::open(folder).ok()?;
     let incarnation = Incarnation(folder.incarnation());
     let (disk, restored) = FileDisk::open(folder).ok()?;
-    let founders = BTreeSet::from(["a".into()]);
-    let cfg = NodeConfig::of_fixed_members("a".into(), incarnation, founders, 1);
+    let initial_voters = BTreeSet::from(["a".into()]);
+    let cfg = NodeConfig::with_fixed_members("a".into(), incarnation, initial_voters, 1);
     let mut replica = Replica::new(Node::new(cfg, restored, Millis::ZERO), Box::new(disk));
     for now in [0, 100, 3_000, 6_000] {
         replica.tick(Millis(now));
--- a/components/consensus/src/config.rs
+++ b/components/consensus/src/config.rs
@@ -37,7 +37,7 @@
     /// This member's disk.
     pub incarnation: Incarnation,
     /// The instances with disks, which found the cell together.
-    pub founders: BTreeSet<InstanceId>,
+    pub initial_voters: BTreeSet<InstanceId>,
     /// The instances that a member without state asks for the cell, besides the founders.
     pub contacts: BTreeSet<InstanceId>,
     /// The instances without disks, which follow the log and are no members.
@@ -45,10 +45,10 @@
     /// How many voters are kept even if some of them are silent.
     pub keep_voters: usize,
     /// After what silence a voter beyond those is removed; `None` leaves that to operators.
-    pub silent_after: Option<Millis>,
+    pub remove_silent_after: Option<Millis>,
     /// After what silence a voter's place goes to a caught-up learner from the reserve; `None` keeps
     /// the voter.
-    pub replace_after: Option<Millis>,
+    pub replace_silent_after: Option<Millis>,
     /// How long things may take.
     pub timing: Timing,
     /// Seeds the election timeouts.
@@ -57,21 +57,21 @@
 
 impl NodeConfig {
     /// Makes the settings of a cell whose members only operators change.
-    pub fn of_fixed_members(
+    pub fn with_fixed_members(
         id: InstanceId,
         incarnation: Incarnation,
-        founders: BTreeSet<InstanceId>,
+        initial_voters: BTreeSet<InstanceId>,
         seed: u64,
     ) -> NodeConfig {
         NodeConfig {
             id,
             incarnation,
-            founders,
+            initial_voters,
             contacts: BTreeSet::new(),
             observers: BTreeSet::new(),
             keep_voters: 0,
-            silent_after: None,
-            replace_after: None,
+            remove_silent_after: None,
+            replace_silent_after: None,
             timing: Timing::default(),
             seed,
         }
--- a/components/consensus/src/disk.rs
+++ b/components/consensus/src/disk.rs
@@ -63,7 +63,7 @@
 pub struct FileDisk {
     folder: DataFolder,
     log: FrameLog,
-    cut: u64,
+    truncated_bytes: u64,
 }
 
 impl FileDisk {
@@ -83,12 +83,15 @@
             records.into_iter().for_each(|r| restored.take(r));
         }
         restored.keep_gapless();
-        Ok((FileDisk { folder, log: opened.log, cut: opened.cut }, restored))
+        Ok((
+            FileDisk { folder, log: opened.log, truncated_bytes: opened.truncated_bytes },
+            restored,
+        ))
     }
 
     /// Gives how many torn bytes were cut from the log's end at opening.
-    pub fn cut(&self) -> u64 {
-        self.cut
+    pub fn truncated_bytes(&self) -> u64 {
+        self.truncated_bytes
     }
 }
 
--- a/components/consensus/src/election.rs
+++ b/components/consensus/src/election.rs
@@ -22,21 +22,22 @@
     }
 
     fn say_hello(&mut self) {
-        let asked: Vec<InstanceId> = self.cfg.founders.union(&self.cfg.contacts).cloned().collect();
-        self.send_to_others(asked, &Body::Hello { formed: false });
+        let asked: Vec<InstanceId> =
+            self.cfg.initial_voters.union(&self.cfg.contacts).cloned().collect();
+        self.send_to_others(asked, &Body::Hello { has_state: false });
     }
 
-    pub(crate) fn on_hello(&mut self, from: InstanceId, incarnation: Incarnation, formed: bool) {
-        if self.role != Role::Unformed {
-            if !formed && !self.has_only_founded() {
-                self.send(&from, Body::Hello { formed: true });
+    pub(crate) fn on_hello(&mut self, from: InstanceId, incarnation: Incarnation, has_state: bool) {
+        if self.role != Role::Uninitialized {
+            if !has_state && !self.has_only_founded() {
+                self.send(&from, Body::Hello { has_state: true });
             }
             if self.role == Role::Leader {
                 self.heard_from(&from, incarnation);
             }
             return;
         }
-        if formed {
+        if has_state {
             self.empty_founders.remove(&from);
         } else {
             self.empty_founders.insert(from, incarnation);
@@ -48,7 +49,7 @@
     /// so: founders that have not heard enough would never found the cell, and this one alone is no quorum.
     pub(crate) fn has_only_founded(&self) -> bool {
         let is_new = self.hard == HardState::default() && self.log.last_index() == 0;
-        is_new && self.role != Role::Unformed
+        is_new && self.role != Role::Uninitialized
     }
 
     /// Tells the others now and then that this member is as good as empty.
@@ -60,22 +61,22 @@
     }
 
     fn try_found(&mut self) {
-        let founders = &self.cfg.founders;
+        let initial_voters = &self.cfg.initial_voters;
         let others_empty =
-            founders.iter().all(|f| *f == self.cfg.id || self.empty_founders.contains_key(f));
-        if !founders.contains(&self.cfg.id) || !others_empty {
+            initial_voters.iter().all(|f| *f == self.cfg.id || self.empty_founders.contains_key(f));
+        if !initial_voters.contains(&self.cfg.id) || !others_empty {
             return;
         }
         // The others may not have heard enough yet: tell them once more before we stop.
         self.say_hello();
         let mut voters = self.empty_founders.clone();
-        voters.retain(|id, _| self.cfg.founders.contains(id));
+        voters.retain(|id, _| self.cfg.initial_voters.contains(id));
         voters.insert(self.cfg.id.clone(), self.cfg.incarnation);
         let membership = Membership { voters, ..Membership::default() };
         let base = Snapshot { membership, ..Snapshot::default() };
         self.log.install(base.clone());
         self.out.snapshot = Some(base);
-        self.out.notices.push(Notice::Founded);
+        self.out.notices.push(Notice::Bootstrapped);
         self.role = Role::Follower;
         self.reset_election_timer();
     }
@@ -245,7 +246,7 @@
         self.role = Role::Leader;
         self.leader = Some(self.cfg.id.clone());
         self.leads_since = self.now;
-        self.out.notices.push(Notice::Leads { term: self.hard.term });
+        self.out.notices.push(Notice::BecameLeader { term: self.hard.term });
         let next = self.log.last_index() + 1;
         self.progress.clear();
         for id in self.followers() {
--- a/components/consensus/src/entry.rs
+++ b/components/consensus/src/entry.rs
@@ -31,7 +31,7 @@
 
 impl Entry {
     /// Gives roughly how many bytes the entry takes in a message.
-    pub fn weight(&self) -> usize {
+    pub fn approximate_size(&self) -> usize {
         match &self.payload {
             Payload::Command(data) => 24 + data.len(),
             Payload::Noop => 24,
--- a/components/consensus/src/incoming.rs
+++ b/components/consensus/src/incoming_snapshot.rs
@@ -6,15 +6,15 @@
 
 /// The pieces that have come so far.
 #[derive(Debug)]
-pub(crate) struct Incoming {
+pub(crate) struct IncomingSnapshot {
     head: Snapshot,
     total: u64,
     data: Vec<u8>,
 }
 
-impl Incoming {
-    pub(crate) fn new(head: Snapshot, total: u64) -> Incoming {
-        Incoming { head, total, data: Vec::new() }
+impl IncomingSnapshot {
+    pub(crate) fn new(head: Snapshot, total: u64) -> IncomingSnapshot {
+        IncomingSnapshot { head, total, data: Vec::new() }
     }
 
     /// Tells whether pieces with this head belong to it.
--- a/components/consensus/src/lib.rs
+++ b/components/consensus/src/lib.rs
@@ -4,19 +4,19 @@
 //! rule of order: records are synced before any message or commitment that rests on them leaves.
 //! docs/design/consensus.md says what was weighed.
 
-mod care;
 mod config;
 mod disk;
 mod election;
 mod entry;
-mod incoming;
+mod incoming_snapshot;
 mod log;
 mod membership;
+mod membership_maintenance;
 mod message;
+mod message_handling;
 mod node;
 mod output;
 mod progress;
-mod receiving;
 mod replica;
 mod replication;
 mod snapshot;
--- a/components/consensus/src/log.rs
+++ b/components/consensus/src/log.rs
@@ -71,7 +71,7 @@
         let mut weight = 0;
         let mut index = first;
         while let Some(entry) = self.entry(index) {
-            weight += entry.weight();
+            weight += entry.approximate_size();
             if weight > bytes && !found.is_empty() {
                 break;
             }
--- a/components/consensus/src/care.rs
+++ b/components/consensus/src/membership_maintenance.rs
@@ -34,7 +34,7 @@
 
     /// Readmits a replaced disk as a learner and promotes a learner that has caught up, one change
     /// at a time.
-    pub(crate) fn care_for_members(&mut self) {
+    pub(crate) fn maintain_membership(&mut self) {
         if !self.may_change_members() {
             return;
         }
@@ -86,7 +86,7 @@
 
     /// Gives how many voters have been silent for so long that they count as gone.
     fn gone_voters(&self) -> usize {
-        let Some(after) = self.cfg.silent_after else { return 0 };
+        let Some(after) = self.cfg.remove_silent_after else { return 0 };
         self.membership().voters.keys().filter(|id| self.is_silent(id, after)).count()
     }
 
@@ -106,7 +106,7 @@
     /// would be too few to elect a leader if all power and one of their disks were lost just then. The reserve must
     /// have been heard just now, so that the larger quorum holds up nothing.
     fn with_silent_voter_replaced(&mut self) -> Option<Membership> {
-        let after = self.cfg.replace_after?;
+        let after = self.cfg.replace_silent_after?;
         let membership = self.membership();
         let enough = membership.voters.len() >= self.cfg.keep_voters.max(3);
         if !enough || membership.voters.len().is_multiple_of(2) {
@@ -126,7 +126,7 @@
     /// Ends the replacement of a silent voter, now that both vote. If it is back after all, its replacement returns
     /// to the reserve, so that the number of voters is odd again.
     fn with_replacement_ended(&mut self) -> Option<Membership> {
-        let after = self.cfg.replace_after?;
+        let after = self.cfg.replace_silent_after?;
         let Replacing { gone, by } = self.replacing.take()?;
         let membership = self.membership();
         let (Some(_), Some(disk)) = (membership.voters.get(&gone), membership.voters.get(&by))
@@ -142,7 +142,7 @@
     /// Gives the members with a learner that is kept in reserve marked for promotion, if there are
     /// too few voters or one of them is gone.
     fn with_spare_promoted(&self) -> Option<Membership> {
-        self.cfg.silent_after?;
+        self.cfg.remove_silent_after?;
         let membership = self.membership();
         if self.voters_to_be() >= self.cfg.keep_voters + self.gone_voters().min(1) {
             return None;
@@ -157,7 +157,7 @@
     /// Gives the members without a voter that has long been silent, if enough others are left and
     /// all of them answer.
     fn without_silent_voter(&self) -> Option<Membership> {
-        let (keep, after) = (self.cfg.keep_voters, self.cfg.silent_after?);
+        let (keep, after) = (self.cfg.keep_voters, self.cfg.remove_silent_after?);
         let membership = self.membership();
         if membership.voters.len() <= keep {
             return None;
@@ -175,7 +175,7 @@
     /// while. A leader that was elected in the midst of a replacement finds as many, and an even number leaves
     /// neither side of a cut into halves a majority.
     fn without_extra_voter(&self) -> Option<Membership> {
-        let after = self.cfg.replace_after?;
+        let after = self.cfg.replace_silent_after?;
         let membership = self.membership();
         let voters = &membership.voters;
         let one_more = voters.len() == self.cfg.keep_voters + 1 && voters.len().is_multiple_of(2);
--- a/components/consensus/src/message.rs
+++ b/components/consensus/src/message.rs
@@ -27,7 +27,7 @@
     /// A member without any state looks for the cell, or to found it.
     Hello {
         /// Whether the sender has state already.
-        formed: bool,
+        has_state: bool,
     },
     /// Asks whether a vote would be given, without disturbing anyone.
     PreVote {
--- a/components/consensus/src/receiving.rs
+++ b/components/consensus/src/message_handling.rs
@@ -23,7 +23,7 @@
             return;
         }
         match body {
-            Body::Hello { formed } => self.on_hello(from, incarnation, formed),
+            Body::Hello { has_state } => self.on_hello(from, incarnation, has_state),
             Body::PreVote { term, last_index, last_term } => {
                 self.on_pre_vote(&from, incarnation, term, (last_term, last_index));
             }
--- a/components/consensus/src/node.rs
+++ b/components/consensus/src/node.rs
@@ -8,9 +8,9 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use crate::care::Replacing;
-use crate::incoming::Incoming;
+use crate::incoming_snapshot::IncomingSnapshot;
 use crate::log::Log;
+use crate::membership_maintenance::Replacing;
 use crate::progress::Progress;
 use crate::{
     Body, ChangeError, Entry, Envelope, HardState, MemberRole, Membership, NodeConfig, NotLeader,
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Has no state yet, and looks for the cell.
-    Unformed,
+    Uninitialized,
     /// Follows a leader or waits for one.
     Follower,
     /// Asks whether it would be elected.
@@ -61,7 +61,7 @@
     pub(crate) first_own: u64,
     /// The replacement of a silent voter that is under way, while this member leads.
     pub(crate) replacing: Option<Replacing>,
-    pub(crate) incoming: Option<Incoming>,
+    pub(crate) incoming: Option<IncomingSnapshot>,
     /// Founders known to be as empty as this one.
     pub(crate) empty_founders: BTreeMap<InstanceId, Incarnation>,
     pub(crate) hello_at: Millis,
@@ -74,10 +74,10 @@
     /// process before it may have granted a leader's lease.
     pub fn new(cfg: NodeConfig, restored: Restored, now: Millis) -> Node {
         let log = Log::new(restored.snapshot, restored.entries);
-        let formed = log.last_index() > 0 || !log.base().membership.voters.is_empty();
+        let has_state = log.last_index() > 0 || !log.base().membership.voters.is_empty();
         let mut node = Node {
             rng: StdRng::seed_from_u64(cfg.seed),
-            role: if formed { Role::Follower } else { Role::Unformed },
+            role: if has_state { Role::Follower } else { Role::Uninitialized },
             hard: restored.hard,
             commit: log.base().last_index,
             synced: None,
@@ -104,12 +104,12 @@
 
     /// Has the member count itself among those who hold an entry only once it is told that the entry is on its disk.
     /// What its disk gave back is.
-    pub fn heed_syncs(&mut self) {
+    pub fn track_syncs(&mut self) {
         self.synced = Some(self.log.last_index());
     }
 
     /// Notes that everything in the log is on this member's disk.
-    pub fn note_synced(&mut self) -> Output {
+    pub fn mark_synced(&mut self) -> Output {
         self.synced = self.synced.map(|_| self.log.last_index());
         if self.role == Role::Leader {
             self.advance_commit();
@@ -119,7 +119,7 @@
 
     /// Copies the entries that were added since this was last called. Entries of one sync go out together: a copy is
     /// followed by the next one only when it is answered.
-    pub fn copy_new(&mut self) -> Output {
+    pub fn replicate_new_entries(&mut self) -> Output {
         if std::mem::take(&mut self.copies_due) && self.role == Role::Leader {
             self.copy_to_all();
         }
@@ -146,7 +146,7 @@
             self.greet_founders();
         }
         match self.role {
-            Role::Unformed => self.seek_cell(),
+            Role::Uninitialized => self.seek_cell(),
             Role::Leader => self.lead(),
             _ if self.now >= self.election_at && self.may_vote() => self.start_pre_vote(),
             _ => {}
@@ -216,7 +216,7 @@
 
     /// Hands leadership to the voter that is furthest along, for a planned stop. This member gives
     /// up its lease before the other one stands.
-    pub fn hand_over(&mut self, now: Millis) -> Output {
+    pub fn transfer_leadership(&mut self, now: Millis) -> Output {
         self.now = self.now.max(now);
         if self.role == Role::Leader {
             let heir = self.furthest_voter();
@@ -292,12 +292,12 @@
 
     /// Tells whether this member surely is the only leader at `now` and has committed an entry of
     /// its own, so that its state holds every accepted change.
-    pub fn lease_holds(&self, now: Millis) -> bool {
+    pub fn holds_lease(&self, now: Millis) -> bool {
         now < self.lease_until(now)
     }
 
     /// Gives until when this member surely is the only leader that has committed an entry of its
-    /// own; zero if it is not. Unlike [`Node::lease_holds`] it can be handed to other threads.
+    /// own; zero if it is not. Unlike [`Node::holds_lease`] it can be handed to other threads.
     pub fn lease_until(&self, now: Millis) -> Millis {
         let Some(acked) = self.quorum_acked_at(now) else { return Millis::ZERO };
         let lease = self.cfg.timing.election_min.0 * (100 - self.cfg.timing.drift_percent) / 100;
@@ -343,7 +343,7 @@
         self.push_entry(Entry { index, term: self.hard.term, payload });
         self.advance_commit();
         match self.synced {
-            // Whoever tells of syncs has what was taken in together copied together, see [`Node::copy_new`].
+            // Whoever tells of syncs has what was taken in together copied together, see [`Node::replicate_new_entries`].
             Some(_) => self.copies_due = true,
             None => self.copy_to_all(),
         }
@@ -368,7 +368,7 @@
             self.hard = HardState { term, voted_for: None };
             self.save_hard_state();
         }
-        if self.role != Role::Unformed {
+        if self.role != Role::Uninitialized {
             self.role = Role::Follower;
         }
         self.leader = leader;
--- a/components/consensus/src/output.rs
+++ b/components/consensus/src/output.rs
@@ -8,9 +8,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
     /// The cell was founded with this member.
-    Founded,
+    Bootstrapped,
     /// This member leads from now on.
-    Leads {
+    BecameLeader {
         /// The term it leads in.
         term: u64,
     },
--- a/components/consensus/src/replica.rs
+++ b/components/consensus/src/replica.rs
@@ -23,7 +23,7 @@
 
 /// A member with its disk. Inputs are taken in one after the other, and [`Replica::flush`] makes
 /// what they changed lasting with a single sync before it gives out what follows from them.
-/// [`Replica::send_ahead`] gives out before that what does not rest on this member's disk.
+/// [`Replica::take_ready_before_sync`] gives out before that what does not rest on this member's disk.
 pub struct Replica {
     node: Node,
     disk: Box<dyn Disk>,
@@ -61,7 +61,7 @@
 impl Replica {
     /// Joins a member and its disk.
     pub fn new(mut node: Node, disk: Box<dyn Disk>) -> Replica {
-        node.heed_syncs();
+        node.track_syncs();
         Replica {
             node,
             disk,
@@ -146,9 +146,9 @@
     }
 
     /// Hands leadership over, for a planned stop.
-    pub fn hand_over(&mut self, now: Millis) {
+    pub fn transfer_leadership(&mut self, now: Millis) {
         self.rests_until = Millis::ZERO;
-        let out = self.node.hand_over(now);
+        let out = self.node.transfer_leadership(now);
         self.absorb(out);
     }
 
@@ -157,8 +157,8 @@
     ///
     /// A leader whose own disk takes 700 ms a sync commits within 1.4 s so, and the others' disks decide; if it waited for
     /// its own first, that took 2.8 s, and requests and leases that wait for two and four seconds were lost.
-    pub fn send_ahead(&mut self) -> Flushed {
-        self.copy_new();
+    pub fn take_ready_before_sync(&mut self) -> Flushed {
+        self.replicate_new_entries();
         let committed = self.take_lasting();
         Flushed { messages: self.take_copies(), committed, ..Flushed::default() }
     }
@@ -196,7 +196,7 @@
         if self.rests() {
             return Ok(Flushed::default());
         }
-        self.copy_new();
+        self.replicate_new_entries();
         let synced = self.records.len();
         if synced > 0 {
             self.syncs_since = Some(self.now);
@@ -208,7 +208,7 @@
             self.disk.append(&self.records)?;
         }
         self.records.clear();
-        self.note_synced();
+        self.mark_synced();
         Ok(Flushed {
             messages: std::mem::take(&mut self.messages),
             committed: std::mem::take(&mut self.committed),
@@ -226,7 +226,7 @@
             self.disk.install(self.node.base(), &self.node.tail_records())?;
             // The tail holds what was not synced yet, too.
             self.records.clear();
-            self.note_synced();
+            self.mark_synced();
         }
         Ok(())
     }
@@ -239,14 +239,14 @@
         self.disk.install(self.node.base(), &self.node.tail_records())
     }
 
-    fn copy_new(&mut self) {
-        let out = self.node.copy_new();
+    fn replicate_new_entries(&mut self) {
+        let out = self.node.replicate_new_entries();
         self.absorb(out);
     }
 
     /// Notes that everything taken in so far is on the disk.
-    fn note_synced(&mut self) {
-        let out = self.node.note_synced();
+    fn mark_synced(&mut self) {
+        let out = self.node.mark_synced();
         self.absorb(out);
     }
 
--- a/components/consensus/src/replication.rs
+++ b/components/consensus/src/replication.rs
@@ -38,7 +38,7 @@
             return;
         }
         self.copy_to_all();
-        self.care_for_members();
+        self.maintain_membership();
     }
 
     pub(crate) fn members_at(&self) -> u64 {
@@ -162,7 +162,7 @@
         for entry in entries {
             self.take_entry(entry);
         }
-        if self.role == Role::Unformed && self.log.last_index() > 0 {
+        if self.role == Role::Uninitialized && self.log.last_index() > 0 {
             self.role = Role::Follower;
         }
         self.commit_to(commit.min(last));
--- a/components/consensus/src/snapshot.rs
+++ b/components/consensus/src/snapshot.rs
@@ -3,7 +3,7 @@
 use clock::Millis;
 use model::{Incarnation, InstanceId};
 
-use crate::incoming::Incoming;
+use crate::incoming_snapshot::IncomingSnapshot;
 use crate::{Body, Node, Role, Snapshot};
 
 /// The bytes of one piece.
@@ -69,7 +69,7 @@
     /// Adds a piece if it is the next one, and gives how many bytes there are.
     fn take_chunk(&mut self, head: Snapshot, offset: u64, total: u64, data: &[u8]) -> u64 {
         if !self.incoming.as_ref().is_some_and(|i| i.is_of(&head, total)) {
-            self.incoming = Some(Incoming::new(head, total));
+            self.incoming = Some(IncomingSnapshot::new(head, total));
         }
         self.incoming.as_mut().map_or(0, |incoming| incoming.take(offset, data))
     }
@@ -80,7 +80,7 @@
         self.commit = snapshot.last_index;
         self.log.install(snapshot.clone());
         self.out.snapshot = Some(snapshot);
-        if self.role == Role::Unformed {
+        if self.role == Role::Uninitialized {
             self.role = Role::Follower;
         }
     }
--- a/components/consensus/tests/care.rs
+++ b/components/consensus/tests/care.rs
@@ -25,12 +25,12 @@
     let cfg = NodeConfig {
         id: id(0),
         incarnation: Incarnation(1),
-        founders: BTreeSet::new(),
+        initial_voters: BTreeSet::new(),
         contacts: BTreeSet::new(),
         observers: BTreeSet::new(),
         keep_voters: 3,
-        silent_after: Some(SILENT_AFTER),
-        replace_after: Some(REPLACE_AFTER),
+        remove_silent_after: Some(SILENT_AFTER),
+        replace_silent_after: Some(REPLACE_AFTER),
         timing: Timing::default(),
         seed: 1,
     };
--- a/components/consensus/tests/common/mod.rs
+++ b/components/consensus/tests/common/mod.rs
@@ -160,11 +160,11 @@
         let cfg = NodeConfig {
             id: id(i),
             incarnation: self.members[i].incarnation,
-            founders: (0..self.voters).map(id).collect(),
+            initial_voters: (0..self.voters).map(id).collect(),
             contacts: (0..self.voters).map(id).collect(),
             keep_voters: if self.reserves > 0 { self.voters } else { 0 },
-            silent_after: None,
-            replace_after: (self.reserves > 0).then_some(Millis(3_000)),
+            remove_silent_after: None,
+            replace_silent_after: (self.reserves > 0).then_some(Millis(3_000)),
             observers: (self.disks()..self.total).map(id).collect(),
             timing: Timing::default(),
             seed: self.rng.random(),
@@ -299,7 +299,7 @@
         let holders: Vec<usize> = (0..self.members.len())
             .filter(|&i| {
                 let replica = self.members[i].replica.as_ref();
-                replica.is_some_and(|r| r.node().lease_holds(self.local_now(i)))
+                replica.is_some_and(|r| r.node().holds_lease(self.local_now(i)))
             })
             .collect();
         assert!(holders.len() <= 1, "two leases at once: {holders:?}");
@@ -368,7 +368,7 @@
     pub fn leader(&self) -> Option<usize> {
         (0..self.members.len()).find(|&i| {
             let replica = self.members[i].replica.as_ref();
-            replica.is_some_and(|r| r.node().lease_holds(self.local_now(i)))
+            replica.is_some_and(|r| r.node().holds_lease(self.local_now(i)))
         })
     }
 
--- a/components/consensus/tests/disk.rs
+++ b/components/consensus/tests/disk.rs
@@ -110,7 +110,7 @@
     let bytes = fs::read(&log).unwrap();
     fs::write(&log, &bytes[..bytes.len() - 1]).unwrap();
     let (disk, restored) = open(dir.path());
-    assert!(disk.cut() > 0);
+    assert!(disk.truncated_bytes() > 0);
     assert_eq!(indexes(&restored), [(1, 1)], "neither entry of the torn sync is there");
 }
 
@@ -122,9 +122,9 @@
     fn any_framed_bytes_give_records_or_an_error(payload in proptest::collection::vec(any::<u8>(), 0..200)) {
         let dir = tempfile::tempdir().unwrap();
         drop(open(dir.path()));
-        fs::write(dir.path().join("cell.log"), storage::encode(&payload)).unwrap();
+        fs::write(dir.path().join("cell.log"), storage::encode_frame(&payload)).unwrap();
         let _ = FileDisk::open(DataFolder::open(dir.path()).unwrap());
-        fs::write(dir.path().join("cell.snapshot"), storage::encode(&payload)).unwrap();
+        fs::write(dir.path().join("cell.snapshot"), storage::encode_frame(&payload)).unwrap();
         let _ = FileDisk::open(DataFolder::open(dir.path()).unwrap());
     }
 
--- a/components/consensus/tests/rules.rs
+++ b/components/consensus/tests/rules.rs
@@ -59,11 +59,11 @@
     NodeConfig {
         id: id(0),
         incarnation: Incarnation(1),
-        founders: (0..3).map(id).collect(),
+        initial_voters: (0..3).map(id).collect(),
         contacts: BTreeSet::new(),
         keep_voters: 0,
-        silent_after: None,
-        replace_after: None,
+        remove_silent_after: None,
+        replace_silent_after: None,
         observers: BTreeSet::new(),
         timing: Timing::default(),
         seed: 1,
@@ -147,7 +147,7 @@
     let stranger = Envelope { incarnation: Incarnation(99), ..from(1, matched(3)) };
     let out = node.receive(Millis(5_001), stranger);
     assert!(out.committed.is_empty());
-    assert!(!node.lease_holds(Millis(5_001)));
+    assert!(!node.holds_lease(Millis(5_001)));
 }
 
 #[test]
@@ -237,7 +237,7 @@
     c.settle();
     let leader = c.leader().unwrap();
     let now = c.local_now(leader);
-    c.members[leader].replica.as_mut().unwrap().hand_over(now);
+    c.members[leader].replica.as_mut().unwrap().transfer_leadership(now);
     c.flush(leader);
     run(&mut c, 300);
     assert!(c.leader().is_some_and(|l| l != leader), "{}", c.describe());
--- a/components/consensus/tests/slow_disk.rs
+++ b/components/consensus/tests/slow_disk.rs
@@ -59,9 +59,9 @@
 impl Cell {
     fn new() -> Cell {
         let member = |i: usize| {
-            let founders = (0..3).map(id).collect();
+            let initial_voters = (0..3).map(id).collect();
             let incarnation = Incarnation(i as u64 + 1);
-            let cfg = NodeConfig::of_fixed_members(id(i), incarnation, founders, i as u64);
+            let cfg = NodeConfig::with_fixed_members(id(i), incarnation, initial_voters, i as u64);
             let node = Node::new(cfg, Restored::default(), Millis::ZERO);
             let replica = Replica::new(node, Box::new(MemoryDisk));
             Member { replica, inbox: VecDeque::new(), sync_takes: QUICK, syncs: None, applied: 0 }
@@ -79,7 +79,7 @@
 
     fn leader(&self) -> Option<usize> {
         let now = Millis(self.now);
-        (0..3).find(|i| self.members[*i].replica.node().lease_holds(now))
+        (0..3).find(|i| self.members[*i].replica.node().holds_lease(now))
     }
 
     fn pass(&mut self, span: u64, mut each: impl FnMut(&mut Cell)) {
@@ -112,11 +112,11 @@
             member.replica.receive(Millis(now), envelope);
         }
         member.replica.tick(Millis(now));
-        if member.replica.node().lease_holds(Millis(now)) {
+        if member.replica.node().holds_lease(Millis(now)) {
             self.propose(i);
         }
         let member = &mut self.members[i];
-        let ahead = member.replica.send_ahead();
+        let ahead = member.replica.take_ready_before_sync();
         self.act_on(i, ahead);
         let member = &mut self.members[i];
         let flushed = member.replica.flush().expect("a disk in memory");
--- a/components/instance/src/core.rs
+++ b/components/instance/src/core.rs
@@ -266,7 +266,7 @@
     /// Syncs what changed and acts on it, until nothing follows any more.
     fn settle(&mut self) -> Result<()> {
         loop {
-            let ahead = self.replica.send_ahead();
+            let ahead = self.replica.take_ready_before_sync();
             let mut again = !ahead.committed.is_empty();
             self.act_on(ahead)?;
             let flushed = self.replica.flush()?;
@@ -299,6 +299,6 @@
 
     /// Refuses the links to these instances, for tests of cut links.
     pub(crate) fn refuse_links(&self, peers: std::collections::BTreeSet<InstanceId>) {
-        self.links.refuse(peers);
+        self.links.set_refused_peers(peers);
     }
 }
--- a/components/instance/src/core/apply.rs
+++ b/components/instance/src/core/apply.rs
@@ -140,10 +140,10 @@
     fn on_notice(&mut self, notice: Notice) {
         let journal = &self.shared.journal;
         match notice {
-            Notice::Founded => {
+            Notice::Bootstrapped => {
                 journal.note(&kinds::CELL_FOUNDED, Subject::default(), "the cell is founded");
             }
-            Notice::Leads { term } => {
+            Notice::BecameLeader { term } => {
                 journal.note(&kinds::LEADER_ELECTED, Subject::default(), format!("term {term}"));
                 self.keeper = ZoneKeeper::new(self.replica.node().leads_since());
             }
--- a/components/instance/src/core/hand_over.rs
+++ b/components/instance/src/core/hand_over.rs
@@ -24,7 +24,7 @@
             self.handing_over = Some(tx);
             return;
         }
-        self.replica.hand_over(now);
+        self.replica.transfer_leadership(now);
         if let Ok(flushed) = self.replica.flush() {
             self.send_envelopes(flushed.messages);
         }
--- a/components/instance/src/core/reads.rs
+++ b/components/instance/src/core/reads.rs
@@ -14,7 +14,7 @@
     /// ahead of the state.
     pub(super) fn certain_index(&self, now: Millis) -> Option<u64> {
         let node = self.replica.node();
-        node.lease_holds(now).then(|| node.commit())
+        node.holds_lease(now).then(|| node.commit())
     }
 
     pub(super) fn on_read(&mut self, now: Millis, tx: oneshot::Sender<bool>) {
--- a/components/instance/src/disk.rs
+++ b/components/instance/src/disk.rs
@@ -40,8 +40,8 @@
         incarnation = folder.incarnation();
         in_force_file = Some(folder.file(IN_FORCE_FILE));
         let (file_disk, found) = FileDisk::open(folder)?;
-        if file_disk.cut() > 0 {
-            let text = format!("{} bytes", file_disk.cut());
+        if file_disk.truncated_bytes() > 0 {
+            let text = format!("{} bytes", file_disk.truncated_bytes());
             shared.journal.note(&kinds::TAIL_CUT, Subject::default(), text);
         }
         disk = Box::new(file_disk);
@@ -52,7 +52,7 @@
         peers.map(|p| p.id.clone()).collect()
     };
     let (id, incarnation) = (settings.own.id.clone(), Incarnation(incarnation));
-    let cfg = NodeConfig::of_fixed_members(id, incarnation, ids(true), rng.random());
+    let cfg = NodeConfig::with_fixed_members(id, incarnation, ids(true), rng.random());
     let cfg = NodeConfig { observers: ids(false), ..cfg };
     let mut cell = Cell::decode(&restored.snapshot.data)?;
     cell.skip(restored.snapshot.last_index);
--- a/components/instance/src/status.rs
+++ b/components/instance/src/status.rs
@@ -38,7 +38,7 @@
     let id = core.shared.id();
     match node.role() {
         Role::Leader => "leader",
-        Role::Unformed => "unformed",
+        Role::Uninitialized => "unformed",
         _ if node.membership().voters.contains_key(id) => "voter",
         _ if node.membership().learners.contains_key(id) => "learner",
         _ => "observer",
--- a/components/node/src/log_store.rs
+++ b/components/node/src/log_store.rs
@@ -57,19 +57,19 @@
         let folder = DataFolder::open(path)?;
         incarnation = Incarnation(folder.incarnation());
         let (file, found) = FileDisk::open(folder)?;
-        cut = file.cut();
+        cut = file.truncated_bytes();
         disk = Box::new(file);
         restored = found;
     }
     let cfg = NodeConfig {
         id: settings.id(),
         incarnation,
-        founders: if settings.bootstrap { settings.seeds.clone() } else { BTreeSet::new() },
+        initial_voters: if settings.bootstrap { settings.seeds.clone() } else { BTreeSet::new() },
         contacts: settings.seeds.clone(),
         observers: BTreeSet::new(),
         keep_voters: settings.keep_voters,
-        silent_after: Some(SILENT_AFTER),
-        replace_after: Some(REPLACE_AFTER),
+        remove_silent_after: Some(SILENT_AFTER),
+        replace_silent_after: Some(REPLACE_AFTER),
         timing: TIMING,
         seed: rand::random(),
     };
--- a/components/node/src/log_thread.rs
+++ b/components/node/src/log_thread.rs
@@ -228,7 +228,7 @@
             }
             LogInput::Admit { id, disk } => replica.admit(now, &id, disk),
             LogInput::Contacts(ids) => replica.add_contacts(ids),
-            LogInput::HandOver => replica.hand_over(now),
+            LogInput::HandOver => replica.transfer_leadership(now),
         }
     }
 
@@ -257,7 +257,7 @@
 
     fn flush(&mut self) -> Result<()> {
         let Some(replica) = &mut self.replica else { return Ok(()) };
-        let ahead = replica.send_ahead();
+        let ahead = replica.take_ready_before_sync();
         self.act_on(ahead)?;
         let Some(replica) = &mut self.replica else { return Ok(()) };
         let flushed = replica.flush()?;
@@ -290,7 +290,7 @@
         match notice {
             Notice::Resigned { reason, .. } => self.depose(reason),
             Notice::MembershipChanged(m) => self.tell_members(&m),
-            Notice::Founded | Notice::Leads { .. } => {}
+            Notice::Bootstrapped | Notice::BecameLeader { .. } => {}
         }
     }
 
--- a/components/storage/src/frame.rs
+++ b/components/storage/src/frame.rs
@@ -32,13 +32,13 @@
     /// The payloads of the whole frames, in order.
     pub payloads: Vec<Vec<u8>>,
     /// How many bytes from the start are whole frames.
-    pub whole: usize,
+    pub valid_len: usize,
     /// How the bytes end.
     pub tail: Tail,
 }
 
 /// Puts `payload` into a frame.
-pub fn encode(payload: &[u8]) -> Vec<u8> {
+pub fn encode_frame(payload: &[u8]) -> Vec<u8> {
     let mut buf = Vec::with_capacity(FRAME_HEADER + payload.len());
     buf.extend_from_slice(&MAGIC);
     buf.extend_from_slice(&(payload.len() as u32).to_le_bytes());
@@ -48,7 +48,7 @@
 }
 
 /// Reads frames from the start of `bytes` until the end or the first bad one.
-pub fn scan(bytes: &[u8]) -> Scan {
+pub fn scan_frames(bytes: &[u8]) -> Scan {
     let mut payloads = Vec::new();
     let mut at = 0;
     while at < bytes.len() {
@@ -57,14 +57,14 @@
                 payloads.push(payload.to_vec());
                 at += FRAME_HEADER + payload.len();
             }
-            Err(reason) => return Scan { payloads, whole: at, tail: judge(bytes, at, reason) },
+            Err(e) => return Scan { payloads, valid_len: at, tail: classify_tail(bytes, at, e) },
         }
     }
-    Scan { payloads, whole: at, tail: Tail::Clean }
+    Scan { payloads, valid_len: at, tail: Tail::Clean }
 }
 
 /// Tells a torn last frame from a damaged earlier one by looking for a whole frame behind it.
-fn judge(bytes: &[u8], at: usize, reason: &'static str) -> Tail {
+fn classify_tail(bytes: &[u8], at: usize, reason: &'static str) -> Tail {
     let whole_behind = (at + 1..bytes.len()).any(|i| frame_at(bytes, i).is_ok());
     if whole_behind { Tail::Damaged { reason: reason.to_string() } } else { Tail::Torn }
 }
--- a/components/storage/src/lib.rs
+++ b/components/storage/src/lib.rs
@@ -8,6 +8,6 @@
 mod snapshot;
 
 pub use folder::DataFolder;
-pub use frame::{FRAME_HEADER, Scan, Tail, encode, scan};
-pub use log::{FrameLog, Opened};
+pub use frame::{FRAME_HEADER, Scan, Tail, encode_frame, scan_frames};
+pub use log::{FrameLog, OpenedLog};
 pub use snapshot::{load, save};
--- a/components/storage/src/log.rs
+++ b/components/storage/src/log.rs
@@ -6,7 +6,7 @@
 
 use errors::{Error, Result, io};
 
-use crate::frame::{Tail, encode, scan};
+use crate::frame::{Tail, encode_frame, scan_frames};
 use crate::snapshot::{replace_file, sync_folder};
 
 /// An open log file. Only one process may hold it, see [`crate::DataFolder`].
@@ -19,13 +19,13 @@
 
 /// What opening a log found.
 #[derive(Debug)]
-pub struct Opened {
+pub struct OpenedLog {
     /// The log, ready for appends.
     pub log: FrameLog,
     /// The payloads of its frames, in order.
     pub payloads: Vec<Vec<u8>>,
     /// How many torn bytes were cut from its end.
-    pub cut: u64,
+    pub truncated_bytes: u64,
 }
 
 impl FrameLog {
@@ -34,26 +34,30 @@
     /// # Errors
     /// [`Error::Damaged`] if a frame before the last no longer matches its checksum; the file is
     /// then left as it is. [`Error::Io`] if the file cannot be used.
-    pub fn open(path: &Path) -> Result<Opened> {
+    pub fn open(path: &Path) -> Result<OpenedLog> {
         let mut options = OpenOptions::new();
         options.read(true).write(true).create(true).truncate(false);
         let mut file = options.open(path).map_err(io("open", path))?;
         let mut bytes = Vec::new();
         file.read_to_end(&mut bytes).map_err(io("read", path))?;
-        let found = scan(&bytes);
+        let found = scan_frames(&bytes);
         if let Tail::Damaged { reason } = found.tail {
-            return Err(Error::Damaged { path: path.into(), offset: found.whole as u64, reason });
+            return Err(Error::Damaged {
+                path: path.into(),
+                offset: found.valid_len as u64,
+                reason,
+            });
         }
-        let len = found.whole as u64;
-        let cut = bytes.len() as u64 - len;
-        if cut > 0 {
+        let len = found.valid_len as u64;
+        let truncated_bytes = bytes.len() as u64 - len;
+        if truncated_bytes > 0 {
             file.set_len(len).map_err(io("cut", path))?;
         }
         file.seek(SeekFrom::Start(len)).map_err(io("seek in", path))?;
         file.sync_all().map_err(io("sync", path))?;
         sync_folder(path)?;
         let log = FrameLog { path: path.into(), file, len };
-        Ok(Opened { log, payloads: found.payloads, cut })
+        Ok(OpenedLog { log, payloads: found.payloads, truncated_bytes })
     }
 
     /// Writes `payload` as one frame and returns once it is synced.
@@ -61,7 +65,7 @@
     /// # Errors
     /// [`Error::Io`]; what is in the file is then unknown, so the process must stop.
     pub fn append(&mut self, payload: &[u8]) -> Result<()> {
-        let frame = encode(payload);
+        let frame = encode_frame(payload);
         self.file.write_all(&frame).map_err(io("write", &self.path))?;
         self.file.sync_data().map_err(io("sync", &self.path))?;
         self.len += frame.len() as u64;
@@ -73,7 +77,7 @@
     /// # Errors
     /// [`Error::Io`]; the process must stop, as after a failed append.
     pub fn replace(&mut self, payload: &[u8]) -> Result<()> {
-        let frame = encode(payload);
+        let frame = encode_frame(payload);
         replace_file(&self.path, &frame)?;
         let mut options = OpenOptions::new();
         options.read(true).append(true);
--- a/components/storage/src/snapshot.rs
+++ b/components/storage/src/snapshot.rs
@@ -6,14 +6,14 @@
 
 use errors::{Error, Result, io};
 
-use crate::frame::{Tail, encode, scan};
+use crate::frame::{Tail, encode_frame, scan_frames};
 
 /// Saves `payload` at `path` atomically and returns once it is synced.
 ///
 /// # Errors
 /// [`Error::Io`]; the old file is then still whole.
 pub fn save(path: &Path, payload: &[u8]) -> Result<()> {
-    replace_file(path, &encode(payload))
+    replace_file(path, &encode_frame(payload))
 }
 
 /// Loads what [`save`] put at `path`, or `None` if there is no such file.
@@ -26,13 +26,13 @@
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(None),
         Err(e) => return Err(io("read", path)(e)),
     };
-    let mut found = scan(&bytes);
+    let mut found = scan_frames(&bytes);
     // The file was renamed into place after its sync, so it is never torn, only damaged.
     match (found.tail, found.payloads.pop()) {
         (Tail::Clean, Some(payload)) => Ok(Some(payload)),
         (_, _) => Err(Error::Damaged {
             path: path.into(),
-            offset: found.whole as u64,
+            offset: found.valid_len as u64,
             reason: "the file is not one whole frame".into(),
         }),
     }
--- a/components/storage/tests/frames.rs
+++ b/components/storage/tests/frames.rs
@@ -4,7 +4,7 @@
 
 use errors::Error;
 use proptest::prelude::*;
-use storage::{DataFolder, FRAME_HEADER, FrameLog, Tail, encode, load, save, scan};
+use storage::{DataFolder, FRAME_HEADER, FrameLog, Tail, encode_frame, load, save, scan_frames};
 
 /// What is done to the bytes of a log of three frames.
 #[derive(Clone, Copy, Debug)]
@@ -19,7 +19,7 @@
 }
 
 fn log_bytes() -> (Vec<u8>, usize) {
-    let frames = [encode(b"first"), encode(b"second"), encode(b"third!")];
+    let frames = [encode_frame(b"first"), encode_frame(b"second"), encode_frame(b"third!")];
     let last = frames[0].len() + frames[1].len();
     (frames.concat(), last)
 }
@@ -75,7 +75,7 @@
     let path = dir.path().join("log");
     fs::write(&path, harmed(Harm::Cut(2))).unwrap();
     let mut opened = FrameLog::open(&path).unwrap();
-    assert!(opened.cut > 0);
+    assert!(opened.truncated_bytes > 0);
     opened.log.append(b"fourth").unwrap();
     let again = FrameLog::open(&path).unwrap();
     let payloads: Vec<&[u8]> = again.payloads.iter().map(Vec::as_slice).collect();
@@ -92,7 +92,7 @@
     log.append(b"newer").unwrap();
     let again = FrameLog::open(&path).unwrap();
     assert_eq!(again.payloads, [b"new".to_vec(), b"newer".to_vec()]);
-    assert_eq!(again.cut, 0);
+    assert_eq!(again.truncated_bytes, 0);
 }
 
 #[test]
@@ -129,14 +129,14 @@
 proptest! {
     #[test]
     fn any_bytes_are_scanned_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..512)) {
-        let found = scan(&bytes);
-        prop_assert!(found.whole <= bytes.len());
+        let found = scan_frames(&bytes);
+        prop_assert!(found.valid_len <= bytes.len());
     }
 
     #[test]
     fn what_is_cut_anywhere_keeps_every_frame_before(cut in 0usize..53) {
         let (bytes, _) = log_bytes();
-        let found = scan(&bytes[..bytes.len() - cut.min(bytes.len())]);
+        let found = scan_frames(&bytes[..bytes.len() - cut.min(bytes.len())]);
         prop_assert!(matches!(found.tail, Tail::Clean | Tail::Torn));
         let wanted = [b"first".as_slice(), b"second", b"third!"];
         for (payload, wanted) in found.payloads.iter().zip(wanted) {
@@ -147,8 +147,8 @@
     #[test]
     fn payloads_come_back_as_they_went(payloads in proptest::collection::vec(
         proptest::collection::vec(any::<u8>(), 0..64), 0..8)) {
-        let bytes: Vec<u8> = payloads.iter().flat_map(|p| encode(p)).collect();
-        let found = scan(&bytes);
+        let bytes: Vec<u8> = payloads.iter().flat_map(|p| encode_frame(p)).collect();
+        let found = scan_frames(&bytes);
         prop_assert_eq!(found.tail, Tail::Clean);
         prop_assert_eq!(found.payloads, payloads);
     }
--- a/components/transport/src/links.rs
+++ b/components/transport/src/links.rs
@@ -126,7 +126,7 @@
     }
 
     /// Refuses all messages to and from `peers` from now on, for tests of cut links.
-    pub fn refuse(&self, peers: BTreeSet<InstanceId>) {
+    pub fn set_refused_peers(&self, peers: BTreeSet<InstanceId>) {
         *lock(&self.refused) = peers;
     }
 }
