--- a/components/cell/src/assign.rs
+++ b/components/cell/src/assign.rs
@@ -6,7 +6,7 @@
 
 /// What a zone last told of itself. It is only a hint: the zone's own ledger decides.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ZoneRoom {
+pub struct ZoneCapacity {
     /// The zone.
     pub zone: ZoneId,
     /// What is free over all its workers, less what waits.
@@ -16,11 +16,11 @@
 }
 
 /// Cuts a job over the zones. Gives `None` if no zone is known.
-pub fn assign(spec: &JobSpec, rooms: &[ZoneRoom]) -> Option<Vec<Share>> {
+pub fn assign(spec: &JobSpec, rooms: &[ZoneCapacity]) -> Option<Vec<Share>> {
     if rooms.is_empty() {
         return None;
     }
-    let mut ranked: Vec<&ZoneRoom> = rooms.iter().collect();
+    let mut ranked: Vec<&ZoneCapacity> = rooms.iter().collect();
     // Zones with a worker large enough first, the roomiest of them first.
     ranked.sort_by_key(|r| {
         let fits = spec.size.fits(&r.largest);
@@ -31,7 +31,7 @@
         return Some(vec![share(ranked[0], 0, spec.tasks)]);
     }
     if spec.spread == Spread::Zone {
-        let usable: Vec<&&ZoneRoom> =
+        let usable: Vec<&&ZoneCapacity> =
             ranked.iter().filter(|r| spec.size.fits(&r.largest)).collect();
         let zones = if usable.is_empty() { ranked.iter().collect() } else { usable };
         return Some(cut_evenly(spec.tasks, &zones));
@@ -40,17 +40,17 @@
 }
 
 /// Gives the roomiest zone other than `from` for tasks that must move.
-pub fn next_home(spec: &JobSpec, from: &ZoneId, rooms: &[ZoneRoom]) -> Option<ZoneId> {
+pub fn choose_target_zone(spec: &JobSpec, from: &ZoneId, rooms: &[ZoneCapacity]) -> Option<ZoneId> {
     let others = rooms.iter().filter(|r| r.zone != *from && spec.size.fits(&r.largest));
     let best = others.max_by_key(|r| (spec.size.copies_in(&r.free), r.zone.clone()))?;
     Some(best.zone.clone())
 }
 
-fn share(room: &ZoneRoom, first: u32, count: u32) -> Share {
+fn share(room: &ZoneCapacity, first: u32, count: u32) -> Share {
     Share { zone: room.zone.clone(), first, count }
 }
 
-fn cut_evenly(tasks: u32, zones: &[&&ZoneRoom]) -> Vec<Share> {
+fn cut_evenly(tasks: u32, zones: &[&&ZoneCapacity]) -> Vec<Share> {
     let n = zones.len() as u32;
     let mut shares = Vec::new();
     let mut first = 0;
@@ -65,7 +65,7 @@
 }
 
 /// Fills the roomiest zone first; what fits nowhere now waits in the roomiest one.
-fn cut_by_room(spec: &JobSpec, ranked: &[&ZoneRoom]) -> Vec<Share> {
+fn cut_by_room(spec: &JobSpec, ranked: &[&ZoneCapacity]) -> Vec<Share> {
     let mut shares: Vec<Share> = Vec::new();
     let mut first = 0;
     for room in ranked.iter().filter(|r| spec.size.fits(&r.largest)) {
--- a/components/cell/src/lib.rs
+++ b/components/cell/src/lib.rs
@@ -12,7 +12,7 @@
 mod state;
 mod zones;
 
-pub use assign::{ZoneRoom, assign, next_home};
+pub use assign::{ZoneCapacity, assign, choose_target_zone};
 pub use claims::{CLAIM_SKEW, CLAIM_WINDOW, Claims};
 pub use command::{Claim, ClaimReply, Command, Proposal, Reply, TaskEnd, TaskOutcome};
 pub use jobs::{Job, JobState};
--- a/components/cell/tests/commands.rs
+++ b/components/cell/tests/commands.rs
@@ -4,7 +4,7 @@
 
 use cell::{
     CLAIM_SKEW, CLAIM_WINDOW, Cell, Claim, ClaimReply, Command, JobState, Proposal, Reply, Share,
-    TaskEnd, TaskOutcome, ZoneRoom, assign, next_home,
+    TaskEnd, TaskOutcome, ZoneCapacity, assign, choose_target_zone,
 };
 use clock::Millis;
 use model::{CellConfig, Epoch, JobKind, JobSpec, RequestKey, Size, Spread, TaskId, ZoneId};
@@ -195,8 +195,8 @@
     assert!(!accepted(&cell.apply(3, &propose(None, to_zb))));
 }
 
-fn room(zone: &str, free: u64, largest: u64) -> ZoneRoom {
-    ZoneRoom {
+fn room(zone: &str, free: u64, largest: u64) -> ZoneCapacity {
+    ZoneCapacity {
         zone: zone.into(),
         free: Size::new(free, free, 0),
         largest: Size::new(largest, largest, 0),
@@ -211,7 +211,7 @@
     let rooms = [room("za", 90_000, 4_000), room("zb", 10_000, 16_000)];
     let shares = assign(&job, &rooms).unwrap();
     assert_eq!(shares, [Share { zone: "zb".into(), first: 0, count: 4 }]);
-    assert_eq!(next_home(&job, &"zb".into(), &rooms), None);
+    assert_eq!(choose_target_zone(&job, &"zb".into(), &rooms), None);
 }
 
 #[test]
--- a/components/instance/src/callers.rs
+++ b/components/instance/src/callers.rs
@@ -1,8 +1,8 @@
 //! Callers' requests: read, claimed if they may run once only, routed, answered.
 
+mod forwarding;
 mod guards;
 mod incoming;
-mod passing_on;
 mod responses;
 
 use std::collections::BTreeSet;
@@ -22,13 +22,13 @@
 use tokio::sync::oneshot;
 use upstream::headers;
 
+use self::forwarding::may_pass_on;
 use self::guards::{Counted, InQueue, Slot};
 use self::incoming::{Incoming, read_request, text};
-use self::passing_on::may_pass_on;
 use self::responses::{malformed, respond};
 use crate::core::Input;
 use crate::message::{Change, Outcome};
-use crate::plane::Arrival;
+use crate::request_plane::Arrival;
 use crate::shared::{Shared, lock};
 use crate::upstream_call::{CallEnd, Clients, Outgoing};
 
--- a/components/instance/src/core.rs
+++ b/components/instance/src/core.rs
@@ -3,13 +3,13 @@
 
 mod apply;
 mod changes;
-mod hand_over;
+mod event_logging;
+mod handover;
 mod messages;
-mod notes;
 mod reads;
 mod timers;
 mod upstreams;
-mod zone_talk;
+mod zone_messages;
 
 use std::path::PathBuf;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
@@ -28,13 +28,13 @@
 use zone::Action;
 
 use self::timers::{ASK_EVERY, BARRIER_EVERY, Timers, is_due};
-use crate::in_force::InForce;
-use crate::keeper::ZoneKeeper;
+use crate::active_config::InForce;
 use crate::message::{Change, Message, Outcome};
 use crate::pending_changes::{Forwarded, InLog};
 use crate::pending_reads::PendingReads;
 use crate::shared::{Shared, lock};
 use crate::zone_role::ZoneRole;
+use crate::zone_supervisor::ZoneSupervisor;
 
 /// How often time passes for the pure parts.
 const TICK: Millis = Millis(20);
@@ -86,7 +86,7 @@
     pub(crate) replica: Replica,
     pub(crate) cell: Cell,
     pub(crate) role: ZoneRole,
-    pub(crate) keeper: ZoneKeeper,
+    pub(crate) zone_supervisor: ZoneSupervisor,
     links: Links,
     workers: UnboundedSender<WorkerCall>,
     in_force_file: Option<PathBuf>,
@@ -135,7 +135,7 @@
             replica,
             cell,
             role,
-            keeper: ZoneKeeper::default(),
+            zone_supervisor: ZoneSupervisor::default(),
             links,
             workers,
             in_force_file,
--- a/components/instance/src/core/apply.rs
+++ b/components/instance/src/core/apply.rs
@@ -6,10 +6,10 @@
 use events::{Subject, kinds};
 
 use super::Core;
-use crate::in_force::InForce;
-use crate::keeper::ZoneKeeper;
+use crate::active_config::InForce;
 use crate::message::Outcome;
 use crate::pending_changes::Asker;
+use crate::zone_supervisor::ZoneSupervisor;
 
 impl Core {
     pub(super) fn act_on(&mut self, flushed: Flushed) -> Result<()> {
@@ -145,7 +145,7 @@
             }
             Notice::BecameLeader { term } => {
                 journal.note(&kinds::LEADER_ELECTED, Subject::default(), format!("term {term}"));
-                self.keeper = ZoneKeeper::new(self.replica.node().leads_since());
+                self.zone_supervisor = ZoneSupervisor::new(self.replica.node().leads_since());
             }
             Notice::Resigned { term, reason } => {
                 let text = format!("term {term}: {reason}");
--- a/components/instance/src/core/changes.rs
+++ b/components/instance/src/core/changes.rs
@@ -89,7 +89,7 @@
 
     /// Chooses the zones of a new job, or says that it can never run.
     fn place_job(&self, spec: &model::JobSpec) -> Result<Vec<cell::Share>, Outcome> {
-        let rooms = self.keeper.rooms();
+        let rooms = self.zone_supervisor.zone_capacities();
         let all_known = rooms.len() == self.cell.zones.iter().count();
         let fits = rooms.iter().any(|r| spec.size.fits(&r.largest));
         if !rooms.is_empty() && all_known && !fits {
--- a/components/instance/src/core/messages.rs
+++ b/components/instance/src/core/messages.rs
@@ -25,7 +25,7 @@
                 self.send(&from, Message::ReadAt { token, index });
             }
             Message::ReadAt { token, index } => self.reads.told(token, index),
-            Message::ZoneAsk(ask) => self.on_zone_ask(now, &from, &ask),
+            Message::ZoneRequest(ask) => self.on_zone_ask(now, &from, &ask),
             Message::ZoneConfirmed { epoch, asked_at, last_index } => {
                 self.role.confirm(epoch, asked_at, last_index);
             }
@@ -37,7 +37,7 @@
             Message::Pledge { epoch, asked_at } => self.role.take_pledge(epoch, &from, asked_at),
             Message::Demand(demand) => {
                 let config = self.shared.config();
-                let pool = crate::plane::pool_to_lend(&config.config);
+                let pool = crate::request_plane::pool_to_lend(&config.config);
                 if let Some(loan) = self.role.lend(now, &demand, pool) {
                     self.send(&from, Message::Loan(loan));
                 }
--- a/components/instance/src/core/zone_talk.rs
+++ b/components/instance/src/core/zone_messages.rs
@@ -7,24 +7,24 @@
 use super::Core;
 use super::messages::MOST_COPIES;
 use super::timers::{ASK_EVERY, COPIES_EVERY, DEMAND_EVERY, MOVES_EVERY, is_due};
-use crate::keeper::AskReply;
-use crate::message::{Change, Message, ZoneAsk};
+use crate::message::{Change, Message, ZoneRequest};
 use crate::pending_changes::Asker;
 use crate::shared::lock;
+use crate::zone_supervisor::ZoneDecision;
 
 impl Core {
-    pub(super) fn on_zone_ask(&mut self, now: Millis, from: &InstanceId, ask: &ZoneAsk) {
+    pub(super) fn on_zone_ask(&mut self, now: Millis, from: &InstanceId, ask: &ZoneRequest) {
         if self.certain_index(now) != Some(self.cell.applied) {
             return;
         }
-        match self.keeper.ask(now, &self.cell, from, ask) {
-            AskReply::Confirm => {
+        match self.zone_supervisor.handle_request(now, &self.cell, from, ask) {
+            ZoneDecision::Confirm => {
                 let (epoch, asked_at) = (ask.epoch, ask.asked_at);
                 let last_index = self.replica.node().last_index();
                 self.send(from, Message::ZoneConfirmed { epoch, asked_at, last_index });
             }
-            AskReply::Grant(command) => self.propose_zone_change(now, command),
-            AskReply::Wait => {}
+            ZoneDecision::Grant(command) => self.propose_zone_change(now, command),
+            ZoneDecision::Wait => {}
         }
     }
 
@@ -35,7 +35,7 @@
             _ => return,
         };
         self.propose_change(now, Change::Command { key: None, command }, Asker::Nobody);
-        self.keeper.changing(&zone, self.replica.node().last_index());
+        self.zone_supervisor.record_proposal(&zone, self.replica.node().last_index());
     }
 
     pub(super) fn talk_to_zone(&mut self, now: Millis) {
@@ -60,7 +60,7 @@
     pub(super) fn move_shares(&mut self, now: Millis) {
         let leads = self.certain_index(now) == Some(self.cell.applied);
         if leads && is_due(now, &mut self.timers.moves, MOVES_EVERY) {
-            for command in self.keeper.moves(now, &self.cell) {
+            for command in self.zone_supervisor.share_moves(now, &self.cell) {
                 self.propose_zone_change(now, command);
             }
         }
@@ -76,7 +76,7 @@
             self.ask_for(now, release);
         }
         if let Some(ask) = self.role.ask(now, self.cell.applied) {
-            self.send(&leader, Message::ZoneAsk(ask));
+            self.send(&leader, Message::ZoneRequest(ask));
         }
     }
 }
--- a/components/instance/src/disk.rs
+++ b/components/instance/src/disk.rs
@@ -12,7 +12,7 @@
 use rand::{Rng, SeedableRng};
 use storage::DataFolder;
 
-use crate::in_force::IN_FORCE_FILE;
+use crate::active_config::IN_FORCE_FILE;
 use crate::shared::Shared;
 
 /// What the disk gives back.
--- a/components/instance/src/lib.rs
+++ b/components/instance/src/lib.rs
@@ -4,26 +4,26 @@
 //! the other; the servers' threads hand it calls and route requests. docs/architecture.md has the
 //! picture.
 
+mod active_config;
 mod callers;
 mod core;
 mod disk;
 mod figures;
-mod in_force;
 mod job_views;
-mod keeper;
 mod links;
 mod listeners;
 mod message;
 mod operators;
 mod pending_changes;
 mod pending_reads;
-mod plane;
+mod request_plane;
 mod server;
 mod shared;
 mod status;
 mod upstream_call;
 mod worker_calls;
 mod zone_role;
+mod zone_supervisor;
 
-pub use keeper::{AskReply, ZoneAsk, ZoneKeeper};
 pub use server::run;
+pub use zone_supervisor::{ZoneDecision, ZoneRequest, ZoneSupervisor};
--- a/components/instance/src/message.rs
+++ b/components/instance/src/message.rs
@@ -40,7 +40,7 @@
         index: Option<u64>,
     },
     /// Tells the leader of a zone, and asks to allocate for it or to go on doing so.
-    ZoneAsk(ZoneAsk),
+    ZoneRequest(ZoneRequest),
     /// Confirms an allocator.
     ZoneConfirmed {
         /// The epoch.
@@ -80,7 +80,7 @@
 
 /// A zone's instance asks to allocate for it, or to go on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ZoneAsk {
+pub struct ZoneRequest {
     /// The zone.
     pub zone: ZoneId,
     /// The epoch that the asker allocates under, zero if it does not.
@@ -90,7 +90,7 @@
     /// How far the asker has applied the log.
     pub applied: u64,
     /// What the zone has free and its largest worker, if the asker knows.
-    pub room: Option<(Size, Size)>,
+    pub capacity: Option<(Size, Size)>,
 }
 
 /// A change that any instance may ask the leader for.
--- a/components/instance/src/shared.rs
+++ b/components/instance/src/shared.rs
@@ -12,7 +12,7 @@
 use model::{InstanceId, Name, ZoneId};
 use settings::Instance;
 
-use crate::plane::Plane;
+use crate::request_plane::Plane;
 
 /// Locks a mutex whatever became of the thread that held it before.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/components/instance/src/zone_role.rs
+++ b/components/instance/src/zone_role.rs
@@ -9,7 +9,7 @@
 use upstream::PlatformList;
 use zone::{Action, Allocator, AllocatorConfig, Pledged, Pledges, Right, ZoneLease};
 
-use crate::message::ZoneAsk;
+use crate::message::ZoneRequest;
 
 /// The zone's allocator and broker, while this instance holds the epoch.
 pub(crate) struct ZoneRole {
@@ -71,14 +71,14 @@
     }
 
     /// Gives what to tell the leader, if this instance takes part.
-    pub(crate) fn ask(&self, now: Millis, applied: u64) -> Option<ZoneAsk> {
+    pub(crate) fn ask(&self, now: Millis, applied: u64) -> Option<ZoneRequest> {
         let takes_part = self.old_grants.is_some() && !self.stopping && !self.drained;
-        takes_part.then(|| ZoneAsk {
+        takes_part.then(|| ZoneRequest {
             zone: self.zone.clone(),
             epoch: self.epoch(),
             asked_at: now,
             applied,
-            room: self.room(),
+            capacity: self.room(),
         })
     }
 
--- a/components/instance/src/keeper.rs
+++ b/components/instance/src/zone_supervisor.rs
@@ -5,12 +5,12 @@
 
 use std::collections::BTreeMap;
 
-use cell::{Cell, Command, JobState, ZoneRoom, next_home};
+use cell::{Cell, Command, JobState, ZoneCapacity, choose_target_zone};
 use clock::Millis;
 use model::{Epoch, InstanceId, ZoneId};
 use zone::{move_wait, takeover_wait};
 
-pub use crate::message::ZoneAsk;
+pub use crate::message::ZoneRequest;
 
 /// How much longer than it must a zone is left alone before its tasks move, so that short cuts move
 /// nothing.
@@ -20,7 +20,7 @@
 
 /// What the leader does about a question.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AskReply {
+pub enum ZoneDecision {
     /// The asker's epoch is confirmed.
     Confirm,
     /// The zone is to be granted to the asker.
@@ -35,60 +35,66 @@
     confirmed_at: Option<Millis>,
     /// When any instance of the zone was last heard.
     heard_at: Option<Millis>,
-    room: Option<ZoneRoom>,
+    room: Option<ZoneCapacity>,
     /// The log's index of a grant or move that is not applied yet.
     changing_until: u64,
 }
 
 /// What a leader knows of the zones. It begins anew with each term.
 #[derive(Clone, Debug, Default)]
-pub struct ZoneKeeper {
+pub struct ZoneSupervisor {
     leads_since: Millis,
     zones: BTreeMap<ZoneId, ZoneView>,
 }
 
-impl ZoneKeeper {
+impl ZoneSupervisor {
     /// Begins a term. An earlier leader may have confirmed any allocator until just now.
-    pub fn new(leads_since: Millis) -> ZoneKeeper {
-        ZoneKeeper { leads_since, zones: BTreeMap::new() }
+    pub fn new(leads_since: Millis) -> ZoneSupervisor {
+        ZoneSupervisor { leads_since, zones: BTreeMap::new() }
     }
 
     /// Decides about a question of a zone's instance. The caller proposes a grant and then calls
-    /// [`ZoneKeeper::changing`].
-    pub fn ask(&mut self, now: Millis, cell: &Cell, from: &InstanceId, ask: &ZoneAsk) -> AskReply {
+    /// [`ZoneSupervisor::record_proposal`].
+    pub fn handle_request(
+        &mut self,
+        now: Millis,
+        cell: &Cell,
+        from: &InstanceId,
+        request: &ZoneRequest,
+    ) -> ZoneDecision {
         let leads_since = self.leads_since;
-        let view = self.zones.entry(ask.zone.clone()).or_default();
+        let view = self.zones.entry(request.zone.clone()).or_default();
         view.heard_at = Some(now);
-        if let Some((free, largest)) = ask.room {
-            view.room = Some(ZoneRoom { zone: ask.zone.clone(), free, largest });
+        if let Some((free, largest)) = request.capacity {
+            view.room = Some(ZoneCapacity { zone: request.zone.clone(), free, largest });
         }
         if view.changing_until > cell.applied {
-            return AskReply::Wait;
+            return ZoneDecision::Wait;
         }
-        let grant = cell.zones.grant(&ask.zone);
-        let epoch = cell.zones.epoch(&ask.zone);
+        let grant = cell.zones.grant(&request.zone);
+        let epoch = cell.zones.epoch(&request.zone);
         let holder = grant.and_then(|g| g.holder.as_ref());
         let give = |to: &InstanceId| {
-            let (zone, holder) = (ask.zone.clone(), to.clone());
-            AskReply::Grant(Command::GrantEpoch { zone, holder, after: epoch })
+            let (zone, holder) = (request.zone.clone(), to.clone());
+            ZoneDecision::Grant(Command::GrantEpoch { zone, holder, after: epoch })
         };
-        if ask.applied < epoch.0 || cell.drained.contains(&from.0) {
-            return AskReply::Wait;
+        if request.applied < epoch.0 || cell.drained.contains(&from.0) {
+            return ZoneDecision::Wait;
         }
         match holder {
             None => give(from),
-            Some(h) if h == from && ask.epoch == epoch => {
+            Some(h) if h == from && request.epoch == epoch => {
                 view.confirmed_at = Some(now);
-                AskReply::Confirm
+                ZoneDecision::Confirm
             }
             // The holder's process has restarted: it is the only one that could have acted on it.
-            Some(h) if h == from && ask.epoch == Epoch(0) => give(from),
-            Some(h) if h == from => AskReply::Wait,
+            Some(h) if h == from && request.epoch == Epoch(0) => give(from),
+            Some(h) if h == from => ZoneDecision::Wait,
             Some(_) => {
                 let since = view.confirmed_at.unwrap_or(leads_since).max(leads_since);
                 match now.since(since) > takeover_wait() {
                     true => give(from),
-                    false => AskReply::Wait,
+                    false => ZoneDecision::Wait,
                 }
             }
         }
@@ -96,19 +102,19 @@
 
     /// Notes that a grant or move of `zone` was proposed at `index`: its allocator is not confirmed
     /// until that is applied.
-    pub fn changing(&mut self, zone: &ZoneId, index: u64) {
+    pub fn record_proposal(&mut self, zone: &ZoneId, index: u64) {
         let view = self.zones.entry(zone.clone()).or_default();
         view.changing_until = view.changing_until.max(index);
     }
 
     /// Gives the rooms of all zones that have told theirs.
-    pub fn rooms(&self) -> Vec<ZoneRoom> {
+    pub fn zone_capacities(&self) -> Vec<ZoneCapacity> {
         self.zones.values().filter_map(|v| v.room.clone()).collect()
     }
 
     /// Gives the moves of movable tasks out of zones that have been silent for so long that their
     /// leases have surely run out.
-    pub fn moves(&self, now: Millis, cell: &Cell) -> Vec<Command> {
+    pub fn share_moves(&self, now: Millis, cell: &Cell) -> Vec<Command> {
         let worker_lease = cell.config.config.worker_lease;
         let silent = |zone: &ZoneId| {
             let view = self.zones.get(zone);
@@ -122,8 +128,8 @@
         if cut_off.is_empty() {
             return Vec::new();
         }
-        let rooms: Vec<ZoneRoom> =
-            self.rooms().into_iter().filter(|r| !cut_off.contains(&&r.zone)).collect();
+        let rooms: Vec<ZoneCapacity> =
+            self.zone_capacities().into_iter().filter(|r| !cut_off.contains(&&r.zone)).collect();
         let movable = cell.jobs.values().filter(|j| j.state == JobState::Active && j.spec.may_move);
         let mut moves = Vec::new();
         for job in movable {
@@ -132,7 +138,7 @@
                 if over || !cut_off.contains(&&share.zone) {
                     continue;
                 }
-                if let Some(to) = next_home(&job.spec, &share.zone, &rooms) {
+                if let Some(to) = choose_target_zone(&job.spec, &share.zone, &rooms) {
                     let (name, from) = (job.spec.name.clone(), share.zone.clone());
                     moves.push(Command::MoveShare { job: name, share: i as u32, from, to });
                 }
--- a/components/instance/tests/keeper.rs
+++ b/components/instance/tests/zone_supervisor.rs
@@ -1,8 +1,8 @@
 //! The leader grants zones and moves tasks only when earlier rights have surely run out.
 
-use cell::{Cell, Command, Proposal, Share, ZoneRoom};
+use cell::{Cell, Command, Proposal, Share, ZoneCapacity};
 use clock::Millis;
-use instance::{AskReply, ZoneAsk, ZoneKeeper};
+use instance::{ZoneDecision, ZoneRequest, ZoneSupervisor};
 use model::{Epoch, InstanceId, JobKind, JobSpec, Size};
 use zone::{ZONE_LEASE, lease_bound, move_wait, takeover_wait};
 
@@ -18,14 +18,14 @@
     apply(cell, index, Command::GrantEpoch { zone, holder, after });
 }
 
-fn ask(zone: &str, epoch: u64, applied: u64) -> ZoneAsk {
+fn request(zone: &str, epoch: u64, applied: u64) -> ZoneRequest {
     let size = Size::new(100_000, 100_000, 0);
-    ZoneAsk {
+    ZoneRequest {
         zone: zone.into(),
         epoch: Epoch(epoch),
         asked_at: Millis(7),
         applied,
-        room: Some((size, size)),
+        capacity: Some((size, size)),
     }
 }
 
@@ -41,10 +41,10 @@
         fn $name() {
             let mut cell = Cell::default();
             grant(&mut cell, 5, "za", "a");
-            let mut keeper = ZoneKeeper::new(START - Millis(60_000));
-            assert_eq!(keeper.ask(START, &cell, &id("a"), &ask("za", 5, 5)), AskReply::Confirm);
-            let reply = keeper.ask(START + $later, &cell, &id($who), &ask("za", $epoch, 5));
-            assert!(matches!(reply, AskReply::$reply { .. }), "{reply:?}");
+            let mut supervisor = ZoneSupervisor::new(START - Millis(60_000));
+            assert_eq!(supervisor.handle_request(START, &cell, &id("a"), &request("za", 5, 5)), ZoneDecision::Confirm);
+            let reply = supervisor.handle_request(START + $later, &cell, &id($who), &request("za", $epoch, 5));
+            assert!(matches!(reply, ZoneDecision::$reply { .. }), "{reply:?}");
         }
     )*};
 }
@@ -64,39 +64,60 @@
 fn a_new_leader_waits_as_if_the_old_one_had_just_confirmed() {
     let mut cell = Cell::default();
     grant(&mut cell, 5, "za", "a");
-    let mut keeper = ZoneKeeper::new(START);
+    let mut supervisor = ZoneSupervisor::new(START);
     let at = START + takeover_wait();
-    assert_eq!(keeper.ask(at, &cell, &id("b"), &ask("za", 0, 5)), AskReply::Wait);
+    assert_eq!(
+        supervisor.handle_request(at, &cell, &id("b"), &request("za", 0, 5)),
+        ZoneDecision::Wait
+    );
     let at = at + Millis(1);
-    assert!(matches!(keeper.ask(at, &cell, &id("b"), &ask("za", 0, 5)), AskReply::Grant(_)));
+    assert!(matches!(
+        supervisor.handle_request(at, &cell, &id("b"), &request("za", 0, 5)),
+        ZoneDecision::Grant(_)
+    ));
 }
 
 #[test]
 fn nobody_is_confirmed_while_a_change_of_the_zone_is_under_way() {
     let mut cell = Cell::default();
     grant(&mut cell, 5, "za", "a");
-    let mut keeper = ZoneKeeper::new(START);
-    keeper.changing(&"za".into(), 6);
-    assert_eq!(keeper.ask(START, &cell, &id("a"), &ask("za", 5, 5)), AskReply::Wait);
+    let mut supervisor = ZoneSupervisor::new(START);
+    supervisor.record_proposal(&"za".into(), 6);
+    assert_eq!(
+        supervisor.handle_request(START, &cell, &id("a"), &request("za", 5, 5)),
+        ZoneDecision::Wait
+    );
     cell.skip(6);
-    assert_eq!(keeper.ask(START, &cell, &id("a"), &ask("za", 5, 6)), AskReply::Confirm);
+    assert_eq!(
+        supervisor.handle_request(START, &cell, &id("a"), &request("za", 5, 6)),
+        ZoneDecision::Confirm
+    );
 }
 
 #[test]
 fn an_instance_that_has_not_applied_the_newest_grant_gets_none() {
     let mut cell = Cell::default();
     grant(&mut cell, 5, "za", "a");
-    let mut keeper = ZoneKeeper::new(Millis(0));
-    assert_eq!(keeper.ask(START, &cell, &id("b"), &ask("za", 0, 4)), AskReply::Wait);
+    let mut supervisor = ZoneSupervisor::new(Millis(0));
+    assert_eq!(
+        supervisor.handle_request(START, &cell, &id("b"), &request("za", 0, 4)),
+        ZoneDecision::Wait
+    );
 }
 
 #[test]
 fn a_drained_instance_gets_no_zone() {
     let mut cell = Cell::default();
     apply(&mut cell, 1, Command::Drain { target: "a".into(), on: true });
-    let mut keeper = ZoneKeeper::new(Millis(0));
-    assert_eq!(keeper.ask(START, &cell, &id("a"), &ask("za", 0, 1)), AskReply::Wait);
-    assert!(matches!(keeper.ask(START, &cell, &id("b"), &ask("za", 0, 1)), AskReply::Grant(_)));
+    let mut supervisor = ZoneSupervisor::new(Millis(0));
+    assert_eq!(
+        supervisor.handle_request(START, &cell, &id("a"), &request("za", 0, 1)),
+        ZoneDecision::Wait
+    );
+    assert!(matches!(
+        supervisor.handle_request(START, &cell, &id("b"), &request("za", 0, 1)),
+        ZoneDecision::Grant(_)
+    ));
 }
 
 fn job(name: &str, may_move: bool) -> Command {
@@ -108,32 +129,32 @@
     Command::CreateJob { spec, shares }
 }
 
-fn cut_off_cell() -> (Cell, ZoneKeeper, Millis) {
+fn cut_off_cell() -> (Cell, ZoneSupervisor, Millis) {
     let mut cell = Cell::default();
     grant(&mut cell, 1, "za", "a");
     grant(&mut cell, 2, "zb", "b");
     apply(&mut cell, 3, job("moves", true));
     apply(&mut cell, 4, job("stays", false));
-    let mut keeper = ZoneKeeper::new(START);
-    keeper.ask(START, &cell, &id("a"), &ask("za", 1, 4));
+    let mut supervisor = ZoneSupervisor::new(START);
+    supervisor.handle_request(START, &cell, &id("a"), &request("za", 1, 4));
     let lease = cell.config.config.worker_lease;
-    (cell, keeper, START + move_wait(lease))
+    (cell, supervisor, START + move_wait(lease))
 }
 
 #[test]
 fn movable_tasks_of_a_silent_zone_move_and_others_stay() {
-    let (cell, mut keeper, surely_over) = cut_off_cell();
-    keeper.ask(surely_over + Millis(20_000), &cell, &id("b"), &ask("zb", 2, 4));
-    let moves = keeper.moves(surely_over + Millis(20_000), &cell);
+    let (cell, mut supervisor, surely_over) = cut_off_cell();
+    supervisor.handle_request(surely_over + Millis(20_000), &cell, &id("b"), &request("zb", 2, 4));
+    let moves = supervisor.share_moves(surely_over + Millis(20_000), &cell);
     let [Command::MoveShare { job, from, to, .. }] = &moves[..] else { panic!("{moves:?}") };
     assert_eq!((job.as_str(), from.as_str(), to.as_str()), ("moves", "za", "zb"));
 }
 
 #[test]
 fn nothing_moves_before_the_leases_have_surely_run_out() {
-    let (cell, mut keeper, surely_over) = cut_off_cell();
-    keeper.ask(surely_over, &cell, &id("b"), &ask("zb", 2, 4));
-    assert!(keeper.moves(surely_over, &cell).is_empty());
+    let (cell, mut supervisor, surely_over) = cut_off_cell();
+    supervisor.handle_request(surely_over, &cell, &id("b"), &request("zb", 2, 4));
+    assert!(supervisor.share_moves(surely_over, &cell).is_empty());
     // The zone's lease and the workers' run out one after the other.
     let lease = cell.config.config.worker_lease;
     let least = lease_bound(Millis::ZERO, ZONE_LEASE) + lease_bound(Millis::ZERO, lease);
@@ -142,16 +163,16 @@
 
 #[test]
 fn nothing_moves_while_any_instance_of_the_zone_is_heard() {
-    let (cell, mut keeper, surely_over) = cut_off_cell();
+    let (cell, mut supervisor, surely_over) = cut_off_cell();
     let at = surely_over + Millis(20_000);
-    keeper.ask(at, &cell, &id("b"), &ask("zb", 2, 4));
-    keeper.ask(at, &cell, &id("a2"), &ask("za", 0, 0));
-    assert!(keeper.moves(at, &cell).is_empty());
+    supervisor.handle_request(at, &cell, &id("b"), &request("zb", 2, 4));
+    supervisor.handle_request(at, &cell, &id("a2"), &request("za", 0, 0));
+    assert!(supervisor.share_moves(at, &cell).is_empty());
 }
 
 #[test]
 fn rooms_are_those_last_told() {
-    let (_, keeper, _) = cut_off_cell();
-    let rooms: Vec<ZoneRoom> = keeper.rooms();
+    let (_, supervisor, _) = cut_off_cell();
+    let rooms: Vec<ZoneCapacity> = supervisor.zone_capacities();
     assert_eq!(rooms.len(), 1);
 }
--- a/components/zone/src/allocator.rs
+++ b/components/zone/src/allocator.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use cell::{Command, TaskEnd, TaskOutcome, ZoneRoom};
+use cell::{Command, TaskEnd, TaskOutcome, ZoneCapacity};
 use clock::Millis;
 use model::{Epoch, JobName, Name, Profile, Size, TaskId, ZoneId};
 use placement::{Decision, Planner, Policy, WorkerIndex};
@@ -266,13 +266,13 @@
     }
 
     /// Gives what the zone tells the cell's leader of itself.
-    pub fn room(&self) -> ZoneRoom {
+    pub fn room(&self) -> ZoneCapacity {
         let waiting = self
             .planner
             .queue()
             .iter()
             .fold(Size::ZERO, |sum, b| sum.plus(&b.spec.size.times(b.waiting.len() as u64)));
-        ZoneRoom {
+        ZoneCapacity {
             zone: self.cfg.zone.clone(),
             free: self.planner.ledger.total_free().minus(&waiting),
             largest: self.planner.ledger.largest(),
