--- a/components/bench/src/leases.rs
+++ b/components/bench/src/leases.rs
@@ -8,7 +8,7 @@
 use model::{Epoch, JobKind, JobSpec, Name, Profile, Size};
 use testkit::{Recorder, WorkerConfig, WorkerCore};
 use upstream::{ListedWorker, SyncReply, SyncRequest, WorkerState};
-use zone::{Action, Allocator, AllocatorConfig, Right};
+use zone::{Action, Allocator, AllocatorConfig, Authority};
 
 use crate::figure::{figure, resident_kilobytes};
 
@@ -77,7 +77,7 @@
         let list: Vec<ListedWorker> = (0..workers).map(listed).collect();
         allocator.set_workers(Millis::ZERO, &list);
         for number in 0..workers {
-            allocator.take_job(Millis::ZERO, &job(number, TASKS_PER_WORKER));
+            allocator.apply_job(Millis::ZERO, &job(number, TASKS_PER_WORKER));
         }
         let core = |w: &ListedWorker| {
             let cfg = WorkerConfig {
@@ -96,7 +96,7 @@
 
     fn step(&mut self, now: Millis) {
         let begun = Instant::now();
-        let actions = self.allocator.tick(now, Right::Full);
+        let actions = self.allocator.tick(now, Authority::Full);
         self.allocator_nanos += begun.elapsed().as_nanos() as u64;
         for action in actions {
             if let Action::Sync { worker, req, .. } = action {
@@ -138,7 +138,7 @@
         let before = resident_kilobytes();
         let mut bench = Bench::new(workers);
         bench.run(100, 5);
-        let (running, _, _) = bench.allocator.counts();
+        let (running, _, _) = bench.allocator.task_counts();
         let tasks = workers * TASKS_PER_WORKER;
         assert_eq!(running, tasks as usize, "every task has found its place");
         let held = resident_kilobytes().saturating_sub(before);
--- a/components/instance/src/callers.rs
+++ b/components/instance/src/callers.rs
@@ -243,7 +243,7 @@
         let order = self.shared.journal.clock().next();
         let mut extra = vec![(headers::CALLER, incoming.caller.clone())];
         if let Some(work) = &incoming.work {
-            extra.push((headers::WORK, work.clone()));
+            extra.push((headers::WORK_TIME, work.clone()));
         }
         Outgoing {
             id: format!("{}-{order}", self.shared.id()),
--- a/components/instance/src/callers/forwarding.rs
+++ b/components/instance/src/callers/forwarding.rs
@@ -46,13 +46,13 @@
 
 fn pass_on_headers(incoming: &Incoming, zone: &str, left: Millis) -> Vec<(&'static str, String)> {
     let mut extra = vec![
-        (headers::PASSED_ON, zone.to_string()),
+        (headers::FORWARDED_BY, zone.to_string()),
         (headers::CLASS, incoming.class.as_str().to_string()),
         (headers::DEADLINE, left.0.to_string()),
     ];
     if let Some(claim) = &incoming.key {
         extra.push((headers::REPEATABLE, "no".to_string()));
-        extra.push((headers::ISSUED, claim.issued.0.to_string()));
+        extra.push((headers::KEY_ISSUED_AT, claim.issued.0.to_string()));
     }
     extra
 }
--- a/components/instance/src/callers/incoming.rs
+++ b/components/instance/src/callers/incoming.rs
@@ -59,7 +59,7 @@
         Some(_) => return Err(format!("{} is neither yes nor no", headers::REPEATABLE)),
     };
     let key = if repeatable { None } else { Some(read_key(req)?) };
-    let passed_on = text(req, headers::PASSED_ON).is_some();
+    let passed_on = text(req, headers::FORWARDED_BY).is_some();
     let caller = text(req, headers::CALLER).filter(|_| passed_on).unwrap_or(id);
     Ok(Incoming {
         id: id.to_string(),
@@ -69,7 +69,7 @@
         key,
         repeatable,
         passed_on,
-        work: text(req, headers::WORK).map(str::to_string),
+        work: text(req, headers::WORK_TIME).map(str::to_string),
         body,
     })
 }
@@ -82,9 +82,9 @@
             headers::KEY
         ));
     }
-    let issued = text(req, headers::ISSUED).and_then(|s| s.parse().ok());
+    let issued = text(req, headers::KEY_ISSUED_AT).and_then(|s| s.parse().ok());
     let issued = issued.ok_or_else(|| {
-        format!("a not repeatable request needs {}, when its key was made", headers::ISSUED)
+        format!("a not repeatable request needs {}, when its key was made", headers::KEY_ISSUED_AT)
     })?;
     Ok(Claim { key: RequestKey::from(key), issued: Millis(issued) })
 }
--- a/components/instance/src/callers/responses.rs
+++ b/components/instance/src/callers/responses.rs
@@ -28,7 +28,7 @@
             reason.as_str().as_bytes().to_vec()
         }
     };
-    response.header(headers::LENGTH, body.len().to_string()).body(body)
+    response.header(headers::BODY_LENGTH, body.len().to_string()).body(body)
 }
 
 /// Writes the answer to a request that cannot be read; `fault` is for its caller.
@@ -39,5 +39,5 @@
     if !id.is_empty() && id.len() <= MAX_ID {
         response.header(headers::REQUEST, id);
     }
-    response.header(headers::LENGTH, fault.len().to_string()).body(fault.to_string())
+    response.header(headers::BODY_LENGTH, fault.len().to_string()).body(fault.to_string())
 }
--- a/components/instance/src/core.rs
+++ b/components/instance/src/core.rs
@@ -259,7 +259,7 @@
                 let _ = self.workers.send(call);
             }
             Action::Propose(command) => self.ask_for(now, command),
-            Action::Note(note) => self.note_zone(note),
+            Action::Event(note) => self.note_zone(note),
         }
     }
 
--- a/components/instance/src/core/event_logging.rs
+++ b/components/instance/src/core/event_logging.rs
@@ -1,25 +1,25 @@
 //! What the core tells the journal.
 
 use events::{Subject, kinds};
-use zone::{Note, Right};
+use zone::{AllocatorEvent, Authority};
 
 use super::Core;
 use crate::shared::lock;
 
 impl Core {
-    pub(super) fn note_right(&self, change: Option<Right>) {
+    pub(super) fn note_right(&self, change: Option<Authority>) {
         let zone = self.shared.zone();
         let journal = &self.shared.journal;
         match change {
-            Some(Right::Full) => {
+            Some(Authority::Full) => {
                 let text = format!("zone {zone}");
                 journal.note(&kinds::ZONE_LEASE_HELD, Subject::default(), text);
             }
-            Some(Right::ZoneOnly) => {
+            Some(Authority::ZoneOnly) => {
                 let text = format!("zone {zone}: its other instances pledge not to allocate");
                 journal.note(&kinds::ZONE_LEASE_LOST, Subject::default(), text);
             }
-            Some(Right::RenewOnly) => {
+            Some(Authority::RenewOnly) => {
                 let text = format!("zone {zone}: nothing new is started");
                 journal.note(&kinds::ZONE_LEASE_LOST, Subject::default(), text);
             }
@@ -27,22 +27,22 @@
         }
     }
 
-    pub(super) fn note_zone(&self, note: Note) {
+    pub(super) fn note_zone(&self, note: AllocatorEvent) {
         let journal = &self.shared.journal;
         match note {
-            Note::WorkerReported { worker, adopted } => {
+            AllocatorEvent::WorkerReported { worker, adopted } => {
                 let text = format!("{worker} reported, {adopted} of its tasks were taken over");
                 journal.note(&kinds::WORKER_REPORTED, Subject::default(), text);
             }
-            Note::WorkerLost { worker } => {
+            AllocatorEvent::WorkerLost { worker } => {
                 let text = format!("{worker} is lost");
                 journal.note(&kinds::WORKER_LOST, Subject::default(), text);
             }
-            Note::WorkerAside { worker } => {
+            AllocatorEvent::WorkerQuarantined { worker } => {
                 let text = format!("{worker} fails tasks of several jobs");
                 journal.note(&kinds::WORKER_ASIDE, Subject::default(), text);
             }
-            Note::TaskStarted { task, worker, waited, class } => {
+            AllocatorEvent::TaskStarted { task, worker, waited, class } => {
                 let name = match class {
                     model::Class::Urgent => "task_wait_urgent",
                     model::Class::Normal => "task_wait_normal",
@@ -52,21 +52,21 @@
                 let text = format!("given to {worker} after {waited}");
                 journal.note(&kinds::TASK_STARTED, Subject::task(&task), text);
             }
-            Note::TaskEnded { task, worker, how } => {
+            AllocatorEvent::TaskEnded { task, worker, how } => {
                 let text = format!("on {worker}: {how}");
                 journal.note(&kinds::TASK_ENDED, Subject::task(&task), text);
             }
-            Note::TaskEvicted { task } => {
+            AllocatorEvent::TaskEvicted { task } => {
                 journal.note(&kinds::TASK_EVICTED, Subject::task(&task), "makes room");
             }
-            Note::JobHopeless { job, reason } => {
+            AllocatorEvent::JobUnschedulable { job, reason } => {
                 journal.note(&kinds::JOB_HOPELESS, Subject::job(&job), reason.to_string());
             }
-            Note::TaskTwice { task, worker } => {
+            AllocatorEvent::DuplicateTask { task, worker } => {
                 let text = format!("also on {worker}");
                 journal.note(&kinds::TASK_TWICE, Subject::task(&task), text);
             }
-            Note::EpochOutdated { newer } => {
+            AllocatorEvent::EpochOutdated { newer } => {
                 let text = format!("epoch {newer} is known");
                 journal.note(&kinds::EPOCH_OUTDATED, Subject::default(), text);
             }
--- a/components/instance/src/figures.rs
+++ b/components/instance/src/figures.rs
@@ -17,7 +17,7 @@
     figures.push(Figure::new("request_claims", core.cell.claims.len() as f64, "claims"));
     figures.push(Figure::new("jobs_known", core.cell.jobs.len() as f64, "jobs"));
     if let Some(allocator) = core.role.allocator() {
-        let (running, waiting, unaccounted) = allocator.counts();
+        let (running, waiting, unaccounted) = allocator.task_counts();
         figures.push(Figure::new("tasks_placed", running as f64, "tasks"));
         figures.push(Figure::new("tasks_waiting", waiting as f64, "tasks"));
         figures.push(Figure::new("tasks_unaccounted", unaccounted as f64, "tasks"));
--- a/components/instance/src/job_views.rs
+++ b/components/instance/src/job_views.rs
@@ -30,9 +30,9 @@
     let Some(allocator) = core.role.allocator() else { return 0 };
     let task = |index| TaskId { job: job.spec.name.clone(), index };
     let shares = job.shares.iter().filter(|s| s.zone == *core.shared.zone());
-    let running = shares
-        .flat_map(|s| s.tasks())
-        .filter(|&index| matches!(allocator.phase(&task(index)), Some((TaskPhase::Running, _))));
+    let running = shares.flat_map(|s| s.tasks()).filter(|&index| {
+        matches!(allocator.task_phase(&task(index)), Some((TaskPhase::Running, _)))
+    });
     running.count() as u32
 }
 
@@ -62,7 +62,7 @@
         return view;
     }
     let task = TaskId { job: job.spec.name.clone(), index };
-    let phase = core.role.allocator().and_then(|a| a.phase(&task));
+    let phase = core.role.allocator().and_then(|a| a.task_phase(&task));
     let (state, worker) = match phase {
         Some((TaskPhase::Unaccounted, w)) => ("unaccounted", w),
         Some((TaskPhase::Waiting, w)) => ("waiting", w),
--- a/components/instance/src/listeners.rs
+++ b/components/instance/src/listeners.rs
@@ -7,7 +7,7 @@
 
 use ntex::web::{self, App, HttpServer};
 use ntex_grpc::server::GrpcServer;
-use upstream::MAX_BODY;
+use upstream::MAX_BODY_BYTES;
 
 use crate::callers::{self, Front};
 use crate::core::Input;
@@ -26,7 +26,7 @@
         let front = Rc::new(Front { shared: shared.clone(), core: core.clone(), clients });
         App::new()
             .state(front)
-            .state(web::types::PayloadConfig::new(MAX_BODY))
+            .state(web::types::PayloadConfig::new(MAX_BODY_BYTES))
             .service(web::resource("/run").route(web::post().to(callers::run)))
             .service(web::resource("/health").route(web::get().to(callers::health)))
     });
--- a/components/instance/src/upstream_call.rs
+++ b/components/instance/src/upstream_call.rs
@@ -13,7 +13,7 @@
 use ntex::http::StatusCode;
 use ntex::time::Millis as Wait;
 use ntex::util::Bytes;
-use upstream::{MAX_BODY, headers};
+use upstream::{MAX_BODY_BYTES, headers};
 
 /// How long an unused connection is kept, in seconds; less than upstreams keep theirs, so that a
 /// request does not meet a connection that is just being closed.
@@ -135,9 +135,9 @@
         return Answer::MayHaveRun("another zone answered another request".into());
     }
     let outcome = text(&response, headers::OUTCOME).unwrap_or_default().to_string();
-    let length = text(&response, headers::LENGTH).and_then(|l| l.parse::<usize>().ok());
+    let length = text(&response, headers::BODY_LENGTH).and_then(|l| l.parse::<usize>().ok());
     let retry_after = text(&response, headers::RETRY_AFTER_MS).and_then(|l| l.parse().ok());
-    let body = response.body().limit(MAX_BODY).await.map(|b| b.to_vec()).unwrap_or_default();
+    let body = response.body().limit(MAX_BODY_BYTES).await.map(|b| b.to_vec()).unwrap_or_default();
     if length != Some(body.len()) {
         return Answer::MayHaveRun("the answer from another zone is not whole".into());
     }
@@ -196,10 +196,10 @@
         let leaving = text(&response, headers::LEAVING).is_some();
         return CallEnd::NotRun { leaving, connected: true };
     }
-    let length = text(&response, headers::LENGTH).and_then(|l| l.parse::<usize>().ok());
+    let length = text(&response, headers::BODY_LENGTH).and_then(|l| l.parse::<usize>().ok());
     let load = text(&response, headers::LOAD).and_then(|l| l.parse().ok());
     let status = response.status();
-    let body = match response.body().limit(MAX_BODY).await {
+    let body = match response.body().limit(MAX_BODY_BYTES).await {
         Ok(body) => body.to_vec(),
         Err(e) => return CallEnd::Broken(format!("the answer broke off: {e}").into()),
     };
--- a/components/instance/src/worker_calls.rs
+++ b/components/instance/src/worker_calls.rs
@@ -6,7 +6,7 @@
 use ntex::client::Client;
 use ntex::time::{Millis as Wait, sleep};
 use tokio::sync::mpsc::UnboundedReceiver;
-use upstream::{HttpWorker, Worker, fetch_list};
+use upstream::{HttpWorker, Worker, fetch_worker_list};
 
 use crate::core::{Input, WorkerCall};
 
@@ -44,7 +44,7 @@
 async fn poll_list(client: Client, platform: SocketAddr, core: Sender<Input>) {
     loop {
         // Without an answer the last list stays in use; it lags anyhow.
-        if let Ok(list) = fetch_list(&client, platform).await
+        if let Ok(list) = fetch_worker_list(&client, platform).await
             && core.send(Input::List(list)).is_err()
         {
             return;
--- a/components/instance/src/zone_role.rs
+++ b/components/instance/src/zone_role.rs
@@ -7,7 +7,9 @@
 use model::{Epoch, InstanceId, Size, ZoneId};
 use routing::{Broker, Demand, Loan};
 use upstream::PlatformList;
-use zone::{Action, Allocator, AllocatorConfig, Pledged, Pledges, Right, ZoneLease};
+use zone::{
+    Action, Allocator, AllocatorConfig, Authority, OwnCommitment, PeerCommitments, ZoneLease,
+};
 
 use crate::message::ZoneRequest;
 
@@ -21,11 +23,11 @@
     allocator: Option<Allocator>,
     broker: Option<Broker>,
     lease: ZoneLease,
-    pledges: Pledges,
-    pledged: Pledged,
+    pledges: PeerCommitments,
+    pledged: OwnCommitment,
     /// The zone's other instances.
     mates: BTreeSet<InstanceId>,
-    right: Right,
+    right: Authority,
     list: PlatformList,
     stopping: bool,
     /// Whether operators have taken this instance out of use.
@@ -47,10 +49,10 @@
             allocator: None,
             broker: None,
             lease: ZoneLease::default(),
-            pledges: Pledges::default(),
-            pledged: Pledged::default(),
+            pledges: PeerCommitments::default(),
+            pledged: OwnCommitment::default(),
             mates,
-            right: Right::RenewOnly,
+            right: Authority::RenewOnly,
             list: PlatformList::default(),
             stopping: false,
             drained: false,
@@ -84,7 +86,7 @@
 
     /// An instance that does not allocate knows only what the platform lists.
     fn room(&self) -> Option<(Size, Size)> {
-        let room = self.allocator.as_ref()?.room();
+        let room = self.allocator.as_ref()?.free_capacity();
         Some((room.free, room.largest))
     }
 
@@ -95,7 +97,7 @@
     /// Tells whether this instance allocates and wants its zone's others not to, because it does not
     /// hear from the leader.
     pub(crate) fn wants_pledges(&self) -> bool {
-        self.allocator.is_some() && self.right != Right::Full
+        self.allocator.is_some() && self.right != Authority::Full
     }
 
     /// Gives a pledge not to allocate for a while to the allocator of `epoch`, if that is the newest.
@@ -122,7 +124,7 @@
         if self.epoch() == epoch || !self.pledged.is_over(now) {
             return;
         }
-        self.right = Right::RenewOnly;
+        self.right = Authority::RenewOnly;
         let mut instances = self.mates.clone();
         instances.insert(self.id.clone());
         self.broker = Some(Broker::new(now, epoch, self.longest_request, instances));
@@ -131,7 +133,7 @@
         allocator.set_workers(now, &self.list.workers);
         allocator.set_drained(&cell.drained);
         for job in cell.jobs.values().filter(|j| j.is_active()) {
-            allocator.take_job(now, job);
+            allocator.apply_job(now, job);
         }
         self.allocator = Some(allocator);
     }
@@ -142,7 +144,7 @@
         let Some(allocator) = &mut self.allocator else { return };
         allocator.retain_jobs(now, &cell.jobs);
         for job in cell.jobs.values() {
-            allocator.take_job(now, job);
+            allocator.apply_job(now, job);
         }
         allocator.set_drained(&cell.drained);
     }
@@ -154,10 +156,12 @@
         match command {
             Command::CreateJob { spec, .. } => take(allocator, now, cell.jobs.get(&spec.name)),
             Command::MoveShare { job, .. } => take(allocator, now, cell.jobs.get(job)),
-            Command::CancelJob { name } => allocator.drop_job(now, name),
-            Command::EndTasks { zone: z, ended, .. } if *z == zone => allocator.tasks_ended(ended),
+            Command::CancelJob { name } => allocator.remove_job(now, name),
+            Command::EndTasks { zone: z, ended, .. } if *z == zone => {
+                allocator.on_tasks_ended(ended)
+            }
             Command::ClaimTasks { zone: z, tasks, .. } if *z == zone => {
-                allocator.tasks_claimed(tasks);
+                allocator.on_tasks_claimed(tasks);
             }
             Command::Drain { .. } => allocator.set_drained(&cell.drained),
             Command::ApplyConfig { .. } => {
@@ -176,16 +180,16 @@
     }
 
     /// Lets time pass and gives what the allocator wants done, and its right if that has changed.
-    pub(crate) fn tick(&mut self, now: Millis, cell: &Cell) -> (Vec<Action>, Option<Right>) {
+    pub(crate) fn tick(&mut self, now: Millis, cell: &Cell) -> (Vec<Action>, Option<Authority>) {
         self.follow_grant(now, cell);
         let Some(allocator) = &mut self.allocator else { return (Vec::new(), None) };
         let epoch = allocator.epoch();
         let right = if self.lease.holds(now, epoch, cell.applied) {
-            Right::Full
+            Authority::Full
         } else if self.pledges.hold(now, epoch, &self.mates) {
-            Right::ZoneOnly
+            Authority::ZoneOnly
         } else {
-            Right::RenewOnly
+            Authority::RenewOnly
         };
         let changed = (right != self.right).then_some(right);
         self.right = right;
@@ -207,7 +211,7 @@
 
     /// Answers a demand. Without the right to start tasks another instance may lend already.
     pub(crate) fn lend(&mut self, now: Millis, demand: &Demand, pool: u32) -> Option<Loan> {
-        if self.right == Right::RenewOnly {
+        if self.right == Authority::RenewOnly {
             return None;
         }
         self.broker.as_mut()?.answer(now, demand, pool)
@@ -235,7 +239,7 @@
 
 fn take(allocator: &mut Allocator, now: Millis, job: Option<&Job>) {
     if let Some(job) = job {
-        allocator.take_job(now, job);
+        allocator.apply_job(now, job);
     }
 }
 
--- a/components/instance/src/zone_supervisor.rs
+++ b/components/instance/src/zone_supervisor.rs
@@ -8,7 +8,7 @@
 use cell::{Cell, Command, JobState, ZoneCapacity, choose_target_zone};
 use clock::Millis;
 use model::{Epoch, InstanceId, ZoneId};
-use zone::{move_wait, takeover_wait};
+use zone::{share_move_delay, takeover_delay};
 
 pub use crate::message::ZoneRequest;
 
@@ -92,7 +92,7 @@
             Some(h) if h == from => ZoneDecision::Wait,
             Some(_) => {
                 let since = view.confirmed_at.unwrap_or(leads_since).max(leads_since);
-                match now.since(since) > takeover_wait() {
+                match now.since(since) > takeover_delay() {
                     true => give(from),
                     false => ZoneDecision::Wait,
                 }
@@ -121,7 +121,7 @@
             let heard = view.and_then(|v| v.heard_at.max(v.confirmed_at));
             let since = heard.unwrap_or(self.leads_since).max(self.leads_since);
             let changing = view.is_some_and(|v| v.changing_until > cell.applied);
-            !changing && now.since(since) > move_wait(worker_lease) + MOVE_GRACE
+            !changing && now.since(since) > share_move_delay(worker_lease) + MOVE_GRACE
         };
         let cut_off: Vec<&ZoneId> =
             cell.zones.iter().map(|(z, _)| z).filter(|z| silent(z)).collect();
--- a/components/instance/tests/zone_supervisor.rs
+++ b/components/instance/tests/zone_supervisor.rs
@@ -4,7 +4,7 @@
 use clock::Millis;
 use instance::{ZoneDecision, ZoneRequest, ZoneSupervisor};
 use model::{Epoch, InstanceId, JobKind, JobSpec, Size};
-use zone::{ZONE_LEASE, lease_bound, move_wait, takeover_wait};
+use zone::{ZONE_LEASE_DURATION, lease_expiry_bound, share_move_delay, takeover_delay};
 
 const START: Millis = Millis(1_000_000);
 
@@ -55,9 +55,9 @@
     the_holder_restarted_gets_a_new_epoch: "a", 0, Millis(500) => Grant;
     the_holder_under_an_older_epoch_waits: "a", 4, Millis(500) => Wait;
     another_waits_at_once: "b", 0, Millis(1) => Wait;
-    another_waits_while_the_lease_may_hold: "b", 0, ZONE_LEASE => Wait;
-    another_waits_through_the_drift: "b", 0, takeover_wait() => Wait;
-    another_takes_over_after_that: "b", 0, takeover_wait() + Millis(1) => Grant;
+    another_waits_while_the_lease_may_hold: "b", 0, ZONE_LEASE_DURATION => Wait;
+    another_waits_through_the_drift: "b", 0, takeover_delay() => Wait;
+    another_takes_over_after_that: "b", 0, takeover_delay() + Millis(1) => Grant;
 }
 
 #[test]
@@ -65,7 +65,7 @@
     let mut cell = Cell::default();
     grant(&mut cell, 5, "za", "a");
     let mut supervisor = ZoneSupervisor::new(START);
-    let at = START + takeover_wait();
+    let at = START + takeover_delay();
     assert_eq!(
         supervisor.handle_request(at, &cell, &id("b"), &request("za", 0, 5)),
         ZoneDecision::Wait
@@ -138,7 +138,7 @@
     let mut supervisor = ZoneSupervisor::new(START);
     supervisor.handle_request(START, &cell, &id("a"), &request("za", 1, 4));
     let lease = cell.config.config.worker_lease;
-    (cell, supervisor, START + move_wait(lease))
+    (cell, supervisor, START + share_move_delay(lease))
 }
 
 #[test]
@@ -157,7 +157,8 @@
     assert!(supervisor.share_moves(surely_over, &cell).is_empty());
     // The zone's lease and the workers' run out one after the other.
     let lease = cell.config.config.worker_lease;
-    let least = lease_bound(Millis::ZERO, ZONE_LEASE) + lease_bound(Millis::ZERO, lease);
+    let least = lease_expiry_bound(Millis::ZERO, ZONE_LEASE_DURATION)
+        + lease_expiry_bound(Millis::ZERO, lease);
     assert!(surely_over.since(START) >= least);
 }
 
--- a/components/testkit/examples/worker.rs
+++ b/components/testkit/examples/worker.rs
@@ -10,7 +10,7 @@
 use ntex::time::{Millis as Wait, sleep};
 use ntex::web::{self, App, HttpRequest, HttpResponse, HttpServer, types::State};
 use testkit::{RecordKind, Recorder, WorkerConfig, WorkerCore};
-use upstream::{MAX_BODY, SyncRequest, headers};
+use upstream::{MAX_BODY_BYTES, SyncRequest, headers};
 
 const DEFAULT_WORK_MS: u32 = 5;
 const LONGEST_WORK_MS: u32 = 60_000;
@@ -93,7 +93,7 @@
     let caller = header(&req, headers::CALLER).to_string();
     let name = if key.is_empty() { caller } else { format!("key:{key}") };
     worker.core().note(RecordKind::Request, &name, u64::from(load));
-    let work = header(&req, headers::WORK).parse().unwrap_or(DEFAULT_WORK_MS);
+    let work = header(&req, headers::WORK_TIME).parse().unwrap_or(DEFAULT_WORK_MS);
     // Tokio's timer is good to a millisecond, ntex's to about sixteen.
     tokio::time::sleep(Millis(u64::from(work.min(LONGEST_WORK_MS))).duration()).await;
     worker.core().note(RecordKind::Answer, &name, u64::from(load));
@@ -101,7 +101,7 @@
     answer.extend_from_slice(&body);
     HttpResponse::Ok()
         .header(headers::REQUEST, id)
-        .header(headers::LENGTH, answer.len().to_string())
+        .header(headers::BODY_LENGTH, answer.len().to_string())
         .header(headers::LOAD, worker.busy.load(Ordering::SeqCst).to_string())
         .body(answer)
 }
@@ -139,7 +139,7 @@
     HttpServer::new(async move || {
         App::new()
             .state(worker.clone())
-            .state(web::types::PayloadConfig::new(MAX_BODY))
+            .state(web::types::PayloadConfig::new(MAX_BODY_BYTES))
             .service(web::resource("/sync").route(web::post().to(sync)))
             .service(web::resource("/run").route(web::post().to(run)))
             .service(web::resource("/leave").route(web::post().to(leave)))
--- a/components/testkit/src/worker.rs
+++ b/components/testkit/src/worker.rs
@@ -4,7 +4,9 @@
 
 use clock::Millis;
 use model::{Epoch, Size};
-use upstream::{Ended, Lease, Report, RunningTask, StartTask, SyncReply, SyncRequest, TaskEnding};
+use upstream::{
+    EndedTask, Lease, RunningTask, StartTask, SyncReply, SyncRequest, TaskEnding, WorkerReport,
+};
 
 use crate::records::{RecordKind, Recorder};
 
@@ -37,7 +39,7 @@
     seq: u64,
     lease: Option<Lease>,
     running: BTreeMap<RunningTask, Running>,
-    ended: BTreeMap<RunningTask, Ended>,
+    ended: BTreeMap<RunningTask, EndedTask>,
     leaving: bool,
     used: Vec<(Millis, Size)>,
     overcommits: u32,
@@ -125,7 +127,7 @@
         if let Some(running) = self.running.remove(task) {
             self.recorder.note(RecordKind::End, &record_name(task), running.start.size.cpu_milli);
             let ran = now.since(running.since);
-            self.ended.insert(task.clone(), Ended { task: task.clone(), ending, ran });
+            self.ended.insert(task.clone(), EndedTask { task: task.clone(), ending, ran });
         }
     }
 
@@ -185,8 +187,8 @@
         self.cfg.total.minus(&self.taken())
     }
 
-    fn report(&self, now: Millis) -> Report {
-        Report {
+    fn report(&self, now: Millis) -> WorkerReport {
+        WorkerReport {
             boot: self.cfg.boot,
             now,
             total: self.cfg.total,
--- a/components/upstream/src/client.rs
+++ b/components/upstream/src/client.rs
@@ -9,7 +9,7 @@
 use ntex::client::Client;
 use ntex::time::Millis as Wait;
 
-use crate::{MAX_BODY, SyncReply, SyncRequest};
+use crate::{MAX_BODY_BYTES, SyncReply, SyncRequest};
 
 /// What heathvale needs of a worker besides answering requests: one call that renews its lease,
 /// starts, checkpoints and stops tasks, and reports.
@@ -39,7 +39,7 @@
         let unreachable = |e: String| Error::Unreachable { target: url.clone(), reason: e };
         let call = self.client.post(&url).timeout(Wait(timeout.0 as u32)).send_json(req);
         let response = call.await.map_err(|e| unreachable(e.to_string()))?;
-        let body = response.body().limit(MAX_BODY).await;
+        let body = response.body().limit(MAX_BODY_BYTES).await;
         let body = body.map_err(|e| unreachable(e.to_string()))?;
         serde_json::from_slice(&body)
             .map_err(|e| Error::Decode { what: "a worker's report", reason: e.to_string() })
--- a/components/upstream/src/headers.rs
+++ b/components/upstream/src/headers.rs
@@ -7,7 +7,7 @@
 /// The caller's key of a not repeatable request.
 pub const KEY: &str = "x-heathvale-key";
 /// When the caller made the key, in milliseconds since 1970.
-pub const ISSUED: &str = "x-heathvale-issued-ms";
+pub const KEY_ISSUED_AT: &str = "x-heathvale-issued-ms";
 /// The request's class: urgent, normal or bulk.
 pub const CLASS: &str = "x-heathvale-class";
 /// How many milliseconds the caller waits for the answer.
@@ -15,7 +15,7 @@
 /// Whether the request may be run more than once: yes or no.
 pub const REPEATABLE: &str = "x-heathvale-repeatable";
 /// How an upstream's answer is long in bytes, so that a cut answer is seen.
-pub const LENGTH: &str = "x-heathvale-length";
+pub const BODY_LENGTH: &str = "x-heathvale-length";
 /// Set by an upstream that did not run the request.
 pub const NOT_RUN: &str = "x-heathvale-not-run";
 /// Set by an upstream that is about to leave.
@@ -29,6 +29,6 @@
 /// When to come back, in milliseconds; Retry-After says the same in whole seconds.
 pub const RETRY_AFTER_MS: &str = "x-heathvale-retry-after-ms";
 /// The zone that passed the request on; it is not passed on again.
-pub const PASSED_ON: &str = "x-heathvale-passed-on";
+pub const FORWARDED_BY: &str = "x-heathvale-passed-on";
 /// How long the stand-in of an upstream works on a request, in milliseconds.
-pub const WORK: &str = "x-heathvale-work-ms";
+pub const WORK_TIME: &str = "x-heathvale-work-ms";
--- a/components/upstream/src/lib.rs
+++ b/components/upstream/src/lib.rs
@@ -10,8 +10,8 @@
 mod protocol;
 
 pub use client::{HttpWorker, Worker};
-pub use platform::{ListedWorker, PlatformList, WorkerState, fetch_list};
+pub use platform::{ListedWorker, PlatformList, WorkerState, fetch_worker_list};
 pub use protocol::{
-    Ended, Lease, MAX_BODY, Report, RunningTask, StartTask, StopTask, SyncReply, SyncRequest,
-    TaskEnding,
+    EndedTask, Lease, MAX_BODY_BYTES, RunningTask, StartTask, StopTask, SyncReply, SyncRequest,
+    TaskEnding, WorkerReport,
 };
--- a/components/upstream/src/platform.rs
+++ b/components/upstream/src/platform.rs
@@ -8,7 +8,7 @@
 use ntex::time::Millis as Wait;
 use serde::{Deserialize, Serialize};
 
-use crate::MAX_BODY;
+use crate::MAX_BODY_BYTES;
 
 /// How long the platform may take to give its list.
 const LIST_TIMEOUT: Wait = Wait(2_000);
@@ -51,12 +51,13 @@
 ///
 /// # Errors
 /// [`Error::Unreachable`] if it does not answer, [`Error::Decode`] if the answer is no list.
-pub async fn fetch_list(client: &Client, addr: SocketAddr) -> Result<PlatformList> {
+pub async fn fetch_worker_list(client: &Client, addr: SocketAddr) -> Result<PlatformList> {
     let url = format!("http://{addr}/instances");
     let unreachable = |e: String| Error::Unreachable { target: url.clone(), reason: e };
     let sent = client.get(&url).timeout(LIST_TIMEOUT).send().await;
     let response = sent.map_err(|e| unreachable(e.to_string()))?;
-    let body = response.body().limit(MAX_BODY).await.map_err(|e| unreachable(e.to_string()))?;
+    let body =
+        response.body().limit(MAX_BODY_BYTES).await.map_err(|e| unreachable(e.to_string()))?;
     serde_json::from_slice(&body)
         .map_err(|e| Error::Decode { what: "the platform's list", reason: e.to_string() })
 }
--- a/components/upstream/src/protocol.rs
+++ b/components/upstream/src/protocol.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The largest body that either side reads.
-pub const MAX_BODY: usize = 4 << 20;
+pub const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// What the allocator tells a worker in one call: it renews the lease and carries whatever is to
 /// start or stop. A worker takes in calls of one epoch in the order of `seq` and refuses an older
@@ -87,7 +87,7 @@
 
 /// A task that ended on a worker, kept until the allocator has made that lasting.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ended {
+pub struct EndedTask {
     /// The task.
     pub task: RunningTask,
     /// How it ended.
@@ -98,7 +98,7 @@
 
 /// What a worker tells of itself, after it has done what the call asked.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct WorkerReport {
     /// The worker's process.
     pub boot: u64,
     /// The worker's clock.
@@ -112,7 +112,7 @@
     /// What the running tasks may take in all.
     pub taken: Size,
     /// The tasks that ended and are not forgotten yet.
-    pub ended: Vec<Ended>,
+    pub ended: Vec<EndedTask>,
     /// What its tasks really use, with a lag.
     pub used: Size,
 }
@@ -121,7 +121,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SyncReply {
     /// It did what was asked.
-    Done(Report),
+    Done(WorkerReport),
     /// It did nothing, because the call came from an older epoch or out of order.
     Refused {
         /// The newest epoch it has seen.
--- a/components/upstream/tests/protocol.rs
+++ b/components/upstream/tests/protocol.rs
@@ -4,7 +4,8 @@
 use model::{Epoch, Size, TaskId};
 use proptest::prelude::*;
 use upstream::{
-    Ended, Lease, PlatformList, Report, RunningTask, StartTask, SyncReply, SyncRequest, TaskEnding,
+    EndedTask, Lease, PlatformList, RunningTask, StartTask, SyncReply, SyncRequest, TaskEnding,
+    WorkerReport,
 };
 
 fn task(index: u32) -> RunningTask {
@@ -35,8 +36,9 @@
 
 #[test]
 fn a_report_reads_back_as_it_was() {
-    let ended = Ended { task: task(3), ending: TaskEnding::Failed("why".into()), ran: Millis(1) };
-    let report = Report {
+    let ended =
+        EndedTask { task: task(3), ending: TaskEnding::Failed("why".into()), ran: Millis(1) };
+    let report = WorkerReport {
         boot: 1,
         now: Millis(2),
         total: Size::new(3, 4, 5),
--- a/components/zone/src/action.rs
+++ b/components/zone/src/action.rs
@@ -24,12 +24,12 @@
     /// Propose a command to the cell.
     Propose(Command),
     /// Tell the operators.
-    Note(Note),
+    Event(AllocatorEvent),
 }
 
 /// Something that operators may want to know.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum AllocatorEvent {
     /// A worker's first report under this epoch came in.
     WorkerReported {
         /// The worker.
@@ -43,7 +43,7 @@
         worker: Name,
     },
     /// A worker fails every task and gets none for a while.
-    WorkerAside {
+    WorkerQuarantined {
         /// The worker.
         worker: Name,
     },
@@ -73,7 +73,7 @@
         task: TaskId,
     },
     /// A job can never run here.
-    JobHopeless {
+    JobUnschedulable {
         /// The job.
         job: JobName,
         /// Why.
@@ -81,7 +81,7 @@
     },
     /// A worker reported a task that this allocator placed on another worker. It is stopped. This
     /// never happens while the promises of docs/design/leases.md hold.
-    TaskTwice {
+    DuplicateTask {
         /// The task.
         task: TaskId,
         /// The worker it should not be on.
--- a/components/zone/src/allocator.rs
+++ b/components/zone/src/allocator.rs
@@ -8,12 +8,12 @@
 use placement::{Decision, Planner, Policy, WorkerIndex};
 use upstream::{ListedWorker, WorkerState};
 
-use crate::action::{Action, Note};
+use crate::action::{Action, AllocatorEvent};
 use crate::health::Health;
 use crate::held_job::HeldJob;
-use crate::lease::Right;
-use crate::link::WorkerLink;
+use crate::lease::Authority;
 use crate::phase::{TaskPhase, WorkerPhase};
+use crate::worker_session::WorkerSession;
 
 /// How many starts one tick may decide, so that a tick stays short.
 const STARTS_PER_TICK: usize = 2_000;
@@ -41,7 +41,7 @@
     pub(crate) cfg: AllocatorConfig,
     pub(crate) planner: Planner,
     pub(crate) health: Health,
-    pub(crate) links: BTreeMap<WorkerIndex, WorkerLink>,
+    pub(crate) links: BTreeMap<WorkerIndex, WorkerSession>,
     pub(crate) jobs: BTreeMap<JobName, HeldJob>,
     /// Tasks that an earlier epoch may have started somewhere.
     pub(crate) unaccounted: BTreeSet<TaskId>,
@@ -128,7 +128,7 @@
         let link = self
             .links
             .entry(ix)
-            .or_insert_with(|| WorkerLink::new(worker.name.clone(), worker.addr, now));
+            .or_insert_with(|| WorkerSession::new(worker.name.clone(), worker.addr, now));
         link.addr = worker.addr;
         link.leaving_listed = worker.state == WorkerState::Leaving;
         self.refresh_open(ix);
@@ -150,24 +150,24 @@
     }
 
     /// Tells whether a worker would take tasks if it were in good standing.
-    pub(crate) fn is_in_use(&self, link: &WorkerLink) -> bool {
+    pub(crate) fn is_in_use(&self, link: &WorkerSession) -> bool {
         link.is_answering() && !link.leaving() && !self.drained.contains(&link.name)
     }
 
     /// Lets time pass. `right` is what the allocator may do now.
-    pub fn tick(&mut self, now: Millis, right: Right) -> Vec<Action> {
+    pub fn tick(&mut self, now: Millis, right: Authority) -> Vec<Action> {
         if self.deposed {
             return std::mem::take(&mut self.actions);
         }
-        if right != Right::RenewOnly {
+        if right != Authority::RenewOnly {
             self.expire_leases(now);
             self.settle_accounts(now);
             self.bound_aside(now);
             self.let_back(now);
-            self.planner.policy.only_immovable = right == Right::ZoneOnly;
+            self.planner.policy.only_immovable = right == Authority::ZoneOnly;
             self.start_tasks(now);
         }
-        if right == Right::Full {
+        if right == Authority::Full {
             self.propose_claims(now);
         }
         self.propose_ends(now);
@@ -204,7 +204,7 @@
         let worker = link.name.clone();
         let since = self.jobs.get(&task.job).map_or(now, |j| j.since);
         let waited = now.since(since);
-        self.note(Note::TaskStarted { task: task.clone(), worker, waited, class });
+        self.note(AllocatorEvent::TaskStarted { task: task.clone(), worker, waited, class });
         self.health.started(now, ix);
         self.refresh_open(ix);
         if repeatable {
@@ -216,11 +216,11 @@
 
     fn evict(&mut self, task: TaskId, ix: WorkerIndex) {
         self.queue_stop(&task, ix, true);
-        self.note(Note::TaskEvicted { task });
+        self.note(AllocatorEvent::TaskEvicted { task });
     }
 
     fn give_up(&mut self, job: &JobName, reason: Name) {
-        self.note(Note::JobHopeless { job: job.clone(), reason: reason.clone() });
+        self.note(AllocatorEvent::JobUnschedulable { job: job.clone(), reason: reason.clone() });
         let Some(held) = self.jobs.get(job) else { return };
         for index in held.open_tasks() {
             let task = TaskId { job: job.clone(), index };
@@ -261,12 +261,12 @@
         }
     }
 
-    pub(crate) fn note(&mut self, note: Note) {
-        self.actions.push(Action::Note(note));
+    pub(crate) fn note(&mut self, note: AllocatorEvent) {
+        self.actions.push(Action::Event(note));
     }
 
     /// Gives what the zone tells the cell's leader of itself.
-    pub fn room(&self) -> ZoneCapacity {
+    pub fn free_capacity(&self) -> ZoneCapacity {
         let waiting = self
             .planner
             .queue()
@@ -285,13 +285,13 @@
     }
 
     /// Gives how many tasks run, wait and are unaccounted for.
-    pub fn counts(&self) -> (usize, usize, usize) {
+    pub fn task_counts(&self) -> (usize, usize, usize) {
         let running = self.planner.all_placed().count();
         (running, self.planner.queue().len(), self.unaccounted.len())
     }
 
     /// Gives how a task stands and on which worker.
-    pub fn phase(&self, task: &TaskId) -> Option<(TaskPhase, Option<Name>)> {
+    pub fn task_phase(&self, task: &TaskId) -> Option<(TaskPhase, Option<Name>)> {
         if self.ending.contains_key(task) {
             return Some((TaskPhase::Ending, None));
         }
@@ -318,7 +318,7 @@
         })
     }
 
-    fn worker_phase(&self, ix: WorkerIndex, link: &WorkerLink) -> WorkerPhase {
+    fn worker_phase(&self, ix: WorkerIndex, link: &WorkerSession) -> WorkerPhase {
         if !link.has_reported() {
             WorkerPhase::Unknown
         } else if !link.is_answering() {
--- a/components/zone/src/health.rs
+++ b/components/zone/src/health.rs
@@ -2,7 +2,7 @@
 //!
 //! A worker on which tasks of several jobs fail one after the other, with no success between, is
 //! set aside and let back one task at a time. A task that fails on several workers in good standing
-//! is its job's fault. How many are set aside together is bounded in [`crate::aside`].
+//! is its job's fault. How many are set aside together is bounded in [`crate::quarantine`].
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -83,7 +83,7 @@
     /// The task is tried again.
     TryAgain,
     /// The worker is set aside; the task is tried again.
-    WorkerAside,
+    WorkerQuarantined,
     /// The worker was set aside before, which the failure is put down to; the task is tried again.
     WasAside,
     /// The task's job is at fault.
@@ -123,7 +123,7 @@
             worker.failed_jobs.clear();
             history.pardoned.insert(ix, now);
             self.pardon(now, ix);
-            return Verdict::WorkerAside;
+            return Verdict::WorkerQuarantined;
         }
         if history.count(ix) {
             self.tasks.remove(task);
--- a/components/zone/src/jobs.rs
+++ b/components/zone/src/jobs.rs
@@ -13,7 +13,7 @@
 
 impl Allocator {
     /// Takes in a job that was created, moved or cancelled, or that was there before this epoch.
-    pub fn take_job(&mut self, now: Millis, job: &Job) {
+    pub fn apply_job(&mut self, now: Millis, job: &Job) {
         let name = &job.spec.name;
         let mut wanted: BTreeSet<u32> = BTreeSet::new();
         if job.is_active() {
@@ -25,14 +25,14 @@
             return;
         }
         if known.is_none() && self.jobs.contains_key(name) {
-            self.drop_job(now, name);
+            self.remove_job(now, name);
         }
         let before = self.jobs.get(name).map(|h| h.open.clone()).unwrap_or_default();
         for index in before.difference(&wanted) {
             self.drop_task(&TaskId { job: name.clone(), index: *index });
         }
         if wanted.is_empty() {
-            self.drop_job(now, name);
+            self.remove_job(now, name);
             return;
         }
         let fresh: Vec<u32> = wanted.difference(&before).copied().collect();
@@ -60,7 +60,7 @@
 
     /// Takes in that a job is gone from the cell, cancelled or ended. Tasks that were not sent to a
     /// worker yet never start.
-    pub fn drop_job(&mut self, _now: Millis, name: &JobName) {
+    pub fn remove_job(&mut self, _now: Millis, name: &JobName) {
         let Some(held) = self.jobs.remove(name) else { return };
         self.planner.withdraw(name);
         for index in held.open {
@@ -72,7 +72,7 @@
     pub fn retain_jobs(&mut self, now: Millis, jobs: &BTreeMap<JobName, Job>) {
         let gone: Vec<JobName> =
             self.jobs.keys().filter(|name| !jobs.contains_key(*name)).cloned().collect();
-        gone.iter().for_each(|name| self.drop_job(now, name));
+        gone.iter().for_each(|name| self.remove_job(now, name));
     }
 
     /// Stops a task that is no longer wanted here.
@@ -95,7 +95,7 @@
     }
 
     /// Takes in tasks whose end is lasting now, so that their workers may forget them.
-    pub fn tasks_ended(&mut self, ended: &[TaskEnd]) {
+    pub fn on_tasks_ended(&mut self, ended: &[TaskEnd]) {
         for end in ended {
             self.ending.remove(&end.task);
             self.health.forget(&end.task);
@@ -109,7 +109,7 @@
     }
 
     /// Takes in tasks whose claim is lasting now, so that they may be started.
-    pub fn tasks_claimed(&mut self, tasks: &[TaskId]) {
+    pub fn on_tasks_claimed(&mut self, tasks: &[TaskId]) {
         for task in tasks {
             if let Some(held) = self.jobs.get_mut(&task.job) {
                 held.claimed.insert(task.index);
--- a/components/zone/src/lease.rs
+++ b/components/zone/src/lease.rs
@@ -11,9 +11,9 @@
 use model::{Epoch, InstanceId};
 
 /// How long an allocator may renew leases of movable tasks after it last asked the cell's leader.
-pub const ZONE_LEASE: Millis = Millis(4_000);
+pub const ZONE_LEASE_DURATION: Millis = Millis(4_000);
 /// How long a pledge not to allocate counts, from when it was asked for.
-pub const PLEDGE: Millis = Millis(2_000);
+pub const COMMITMENT_DURATION: Millis = Millis(2_000);
 /// By how many percent two clocks may run apart.
 const DRIFT_PERCENT: u64 = 5;
 /// What is waited beyond the drift, for clocks that count whole milliseconds.
@@ -48,7 +48,7 @@
         if epoch > self.epoch {
             *self = ZoneLease { epoch, confirmed: Vec::new() };
         }
-        let fresh = Confirmed { until: asked_at + ZONE_LEASE, needs_applied: last_index };
+        let fresh = Confirmed { until: asked_at + ZONE_LEASE_DURATION, needs_applied: last_index };
         self.confirmed.push(fresh);
         if self.confirmed.len() > KEPT {
             self.confirmed.remove(0);
@@ -64,7 +64,7 @@
 
 /// What an allocator may do at the moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Right {
+pub enum Authority {
     /// The cell's leader confirms it: everything.
     Full,
     /// It is cut off from the leader, but no other instance of its zone will allocate: tasks that may
@@ -77,20 +77,20 @@
 
 /// The pledges that an allocator has from its zone's other instances.
 #[derive(Clone, Debug, Default)]
-pub struct Pledges {
+pub struct PeerCommitments {
     epoch: Epoch,
     until: BTreeMap<InstanceId, Millis>,
 }
 
-impl Pledges {
+impl PeerCommitments {
     /// Notes a pledge in answer to a question asked at `asked_at`.
     pub fn note(&mut self, epoch: Epoch, mate: &InstanceId, asked_at: Millis) {
         if epoch > self.epoch {
-            *self = Pledges { epoch, until: BTreeMap::new() };
+            *self = PeerCommitments { epoch, until: BTreeMap::new() };
         }
         if epoch == self.epoch {
             let until = self.until.entry(mate.clone()).or_default();
-            *until = (*until).max(asked_at + PLEDGE);
+            *until = (*until).max(asked_at + COMMITMENT_DURATION);
         }
     }
 
@@ -103,17 +103,17 @@
 
 /// The promise that an instance gave to the allocator of its zone.
 #[derive(Clone, Debug, Default)]
-pub struct Pledged {
+pub struct OwnCommitment {
     until: Millis,
 }
 
-impl Pledged {
+impl OwnCommitment {
     /// Gives a pledge for `epoch`, unless this instance knows of a newer one.
     pub fn give(&mut self, now: Millis, epoch: Epoch, newest_known: Epoch) -> bool {
         if newest_known > epoch {
             return false;
         }
-        self.until = self.until.max(lease_bound(now, PLEDGE));
+        self.until = self.until.max(lease_expiry_bound(now, COMMITMENT_DURATION));
         true
     }
 
@@ -124,18 +124,18 @@
 }
 
 /// Gives when a lease of `length` that counts from `since` has surely run out at its holder.
-pub fn lease_bound(since: Millis, length: Millis) -> Millis {
+pub fn lease_expiry_bound(since: Millis, length: Millis) -> Millis {
     since + length.plus_percent(DRIFT_PERCENT) + CLOCK_MARGIN
 }
 
 /// Gives how long the leader waits after it last confirmed an allocator, or after it became leader
 /// itself, before it grants the zone to another instance.
-pub fn takeover_wait() -> Millis {
-    lease_bound(Millis::ZERO, ZONE_LEASE)
+pub fn takeover_delay() -> Millis {
+    lease_expiry_bound(Millis::ZERO, ZONE_LEASE_DURATION)
 }
 
 /// Gives how long the leader waits likewise before it gives movable tasks to another zone: the
 /// zone's lease and then the workers' have to run out.
-pub fn move_wait(worker_lease: Millis) -> Millis {
-    takeover_wait() + lease_bound(Millis::ZERO, worker_lease)
+pub fn share_move_delay(worker_lease: Millis) -> Millis {
+    takeover_delay() + lease_expiry_bound(Millis::ZERO, worker_lease)
 }
--- a/components/zone/src/lib.rs
+++ b/components/zone/src/lib.rs
@@ -5,20 +5,20 @@
 
 mod action;
 mod allocator;
-mod aside;
 mod health;
 mod held_job;
 mod jobs;
 mod lease;
-mod link;
 mod phase;
+mod quarantine;
 mod reports;
-mod sync;
+mod worker_session;
+mod worker_sync;
 
-pub use action::{Action, Note};
+pub use action::{Action, AllocatorEvent};
 pub use allocator::{Allocator, AllocatorConfig};
 pub use lease::{
-    CLOCK_MARGIN, PLEDGE, Pledged, Pledges, Right, ZONE_LEASE, ZoneLease, lease_bound, move_wait,
-    takeover_wait,
+    Authority, CLOCK_MARGIN, COMMITMENT_DURATION, OwnCommitment, PeerCommitments,
+    ZONE_LEASE_DURATION, ZoneLease, lease_expiry_bound, share_move_delay, takeover_delay,
 };
 pub use phase::{TaskPhase, WorkerPhase};
--- a/components/zone/src/reports.rs
+++ b/components/zone/src/reports.rs
@@ -7,9 +7,9 @@
 use errors::Result;
 use model::{JobKind, Name, Size, TaskId};
 use placement::WorkerIndex;
-use upstream::{Ended, Report, RunningTask, SyncReply, TaskEnding};
+use upstream::{EndedTask, RunningTask, SyncReply, TaskEnding, WorkerReport};
 
-use crate::action::Note;
+use crate::action::AllocatorEvent;
 use crate::allocator::Allocator;
 use crate::health::{LASTED, Verdict};
 
@@ -29,14 +29,14 @@
             }
             Ok(SyncReply::Refused { epoch, .. }) => {
                 self.deposed = true;
-                self.note(Note::EpochOutdated { newer: epoch });
+                self.note(AllocatorEvent::EpochOutdated { newer: epoch });
             }
             Err(_) => link.note_silence(),
         }
         self.refresh_open(ix);
     }
 
-    fn on_report(&mut self, now: Millis, ix: WorkerIndex, report: Report) {
+    fn on_report(&mut self, now: Millis, ix: WorkerIndex, report: WorkerReport) {
         let Some(link) = self.links.get_mut(&ix) else { return };
         let first = !link.has_reported();
         let restarted = !first && link.boot() != report.boot;
@@ -60,7 +60,7 @@
         self.charge_stray(ix, report.taken.minus(&ours));
         if first {
             let worker = self.planner.ledger.info(ix).name.clone();
-            self.note(Note::WorkerReported { worker, adopted });
+            self.note(AllocatorEvent::WorkerReported { worker, adopted });
         }
     }
 
@@ -80,7 +80,7 @@
         &mut self,
         ix: WorkerIndex,
         running: &BTreeSet<RunningTask>,
-        ended: &[Ended],
+        ended: &[EndedTask],
     ) {
         let Some(link) = self.links.get_mut(&ix) else { return };
         link.to_stop.retain(|task, _| running.contains(task));
@@ -106,7 +106,7 @@
                 Some(here) if here == ix => continue,
                 Some(_) => {
                     let worker = self.planner.ledger.info(ix).name.clone();
-                    self.note(Note::TaskTwice { task: r.task.clone(), worker });
+                    self.note(AllocatorEvent::DuplicateTask { task: r.task.clone(), worker });
                     self.stop_running(ix, r);
                     continue;
                 }
@@ -151,7 +151,7 @@
         }
     }
 
-    fn on_ended(&mut self, now: Millis, ix: WorkerIndex, ended: Ended) {
+    fn on_ended(&mut self, now: Millis, ix: WorkerIndex, ended: EndedTask) {
         let task = ended.task.task.clone();
         let held = self.jobs.get(&task.job).filter(|h| h.generation == ended.task.generation);
         let wanted = held.is_some_and(|h| h.holds(task.index));
@@ -175,7 +175,7 @@
         self.judge_end(now, ix, began, ended);
     }
 
-    fn judge_end(&mut self, now: Millis, ix: WorkerIndex, began: Millis, ended: Ended) {
+    fn judge_end(&mut self, now: Millis, ix: WorkerIndex, began: Millis, ended: EndedTask) {
         let task = ended.task.task.clone();
         let Some(held) = self.jobs.get(&task.job) else { return };
         let is_service = held.spec.kind == JobKind::Service;
@@ -185,7 +185,7 @@
             TaskEnding::Failed(reason) => format!("failed: {reason}").into(),
             TaskEnding::Stopped => "stopped".into(),
         };
-        self.note(Note::TaskEnded { task: task.clone(), worker, how });
+        self.note(AllocatorEvent::TaskEnded { task: task.clone(), worker, how });
         match ended.ending {
             TaskEnding::Done => {
                 self.health.succeeded(&task, ix, began);
@@ -193,7 +193,7 @@
                     self.retry_or_end(now, &task, true, "it ended");
                     self.forget_on(ix, ended.task);
                 } else {
-                    // The worker keeps the end until the cell has it; see `tasks_ended`.
+                    // The worker keeps the end until the cell has it; see `on_tasks_ended`.
                     self.ending.insert(task, (TaskOutcome::Done, None));
                 }
             }
@@ -221,9 +221,9 @@
                 self.ending.insert(task.clone(), (TaskOutcome::Failed(reason.into()), None));
                 return;
             }
-            Verdict::WorkerAside => {
+            Verdict::WorkerQuarantined => {
                 let worker = self.planner.ledger.info(ix).name.clone();
-                self.note(Note::WorkerAside { worker });
+                self.note(AllocatorEvent::WorkerQuarantined { worker });
                 self.refresh_open(ix);
             }
             Verdict::WasAside => {}
--- a/components/zone/src/link.rs
+++ b/components/zone/src/worker_session.rs
@@ -7,7 +7,7 @@
 use model::{Name, Size, TaskId};
 use upstream::{Lease, RunningTask, StartTask, StopTask, SyncRequest};
 
-use crate::lease::{Right, lease_bound};
+use crate::lease::{Authority, lease_expiry_bound};
 
 /// A lease is renewed three times in its length.
 const RENEWALS_PER_LEASE: u64 = 3;
@@ -29,7 +29,7 @@
 
 /// The link to one worker.
 #[derive(Clone, Debug)]
-pub(crate) struct WorkerLink {
+pub(crate) struct WorkerSession {
     pub(crate) name: Name,
     pub(crate) addr: SocketAddr,
     pub(crate) leaving_listed: bool,
@@ -57,9 +57,9 @@
     pub(crate) sent: bool,
 }
 
-impl WorkerLink {
-    pub(crate) fn new(name: Name, addr: SocketAddr, now: Millis) -> WorkerLink {
-        WorkerLink {
+impl WorkerSession {
+    pub(crate) fn new(name: Name, addr: SocketAddr, now: Millis) -> WorkerSession {
+        WorkerSession {
             name,
             addr,
             leaving_listed: false,
@@ -148,7 +148,7 @@
         self.to_stop.clear();
     }
 
-    pub(crate) fn is_due(&self, now: Millis, right: Right) -> bool {
+    pub(crate) fn is_due(&self, now: Millis, right: Authority) -> bool {
         let starts = self.to_start.values().any(|q| may_start(right, &q.start));
         let news = starts || !self.to_stop.is_empty() || !self.to_forget.is_empty();
         let answered = self.unanswered == 0 && self.last.is_some();
@@ -162,7 +162,7 @@
         now: Millis,
         epoch: model::Epoch,
         worker_lease: Millis,
-        right: Right,
+        right: Authority,
     ) -> SyncRequest {
         self.seq += 1;
         self.in_flight = Some(self.seq);
@@ -181,9 +181,9 @@
         req.boot = last.boot;
         req.lease = Some(Lease {
             fixed_until: until,
-            movable_until: if right == Right::Full { until } else { Millis::ZERO },
+            movable_until: if right == Authority::Full { until } else { Millis::ZERO },
         });
-        self.lease_ends = self.lease_ends.max(lease_bound(last.at, worker_lease));
+        self.lease_ends = self.lease_ends.max(lease_expiry_bound(last.at, worker_lease));
         let allowed = self.to_start.values_mut().filter(|q| may_start(right, &q.start));
         for queued in allowed.take(MAX_STARTS) {
             queued.sent = true;
@@ -201,11 +201,11 @@
 }
 
 /// A start waits in the link while the allocator may not make it.
-fn may_start(right: Right, start: &StartTask) -> bool {
+fn may_start(right: Authority, start: &StartTask) -> bool {
     match right {
-        Right::Full => true,
-        Right::ZoneOnly => !start.may_move,
-        Right::RenewOnly => false,
+        Authority::Full => true,
+        Authority::ZoneOnly => !start.may_move,
+        Authority::RenewOnly => false,
     }
 }
 
--- a/components/zone/src/sync.rs
+++ b/components/zone/src/worker_sync.rs
@@ -5,14 +5,14 @@
 use placement::WorkerIndex;
 use upstream::{RunningTask, StartTask};
 
-use crate::action::{Action, Note};
+use crate::action::{Action, AllocatorEvent};
 use crate::allocator::Allocator;
-use crate::lease::{Right, lease_bound};
-use crate::link::{QueuedStart, renewal_period};
+use crate::lease::{Authority, lease_expiry_bound};
+use crate::worker_session::{QueuedStart, renewal_period};
 
 impl Allocator {
     /// Calls the workers whose renewal is due or for whom there is news.
-    pub(crate) fn sync_workers(&mut self, now: Millis, right: Right) {
+    pub(crate) fn sync_workers(&mut self, now: Millis, right: Authority) {
         let (epoch, worker_lease) = (self.cfg.epoch, self.cfg.worker_lease);
         let timeout = renewal_period(worker_lease);
         for link in self.links.values_mut().filter(|l| l.is_due(now, right)) {
@@ -52,7 +52,7 @@
             let Some(link) = self.links.get_mut(&ix) else { continue };
             link.forget_tasks();
             let worker = link.name.clone();
-            self.note(Note::WorkerLost { worker });
+            self.note(AllocatorEvent::WorkerLost { worker });
             self.charge_stray(ix, Size::ZERO);
             self.lose_tasks_on(now, ix);
             self.refresh_open(ix);
@@ -62,7 +62,7 @@
     /// Takes a worker out that the platform no longer lists.
     pub(crate) fn drop_worker(&mut self, now: Millis, ix: WorkerIndex) {
         if let Some(link) = self.links.remove(&ix) {
-            self.note(Note::WorkerLost { worker: link.name });
+            self.note(AllocatorEvent::WorkerLost { worker: link.name });
             self.lose_tasks_on(now, ix);
             self.planner.ledger.remove(ix);
         }
@@ -86,7 +86,7 @@
         }
         let all_reported = !self.links.is_empty() && self.links.values().all(|l| l.has_reported());
         // The grant waited for the last zone lease already; what is left are the workers' leases.
-        let leases_over = now >= lease_bound(self.born, self.cfg.worker_lease);
+        let leases_over = now >= lease_expiry_bound(self.born, self.cfg.worker_lease);
         if !all_reported && !leases_over {
             return;
         }
--- a/components/zone/tests/aside.rs
+++ b/components/zone/tests/aside.rs
@@ -8,9 +8,10 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use upstream::{
-    Ended, ListedWorker, Report, RunningTask, SyncReply, SyncRequest, TaskEnding, WorkerState,
+    EndedTask, ListedWorker, RunningTask, SyncReply, SyncRequest, TaskEnding, WorkerReport,
+    WorkerState,
 };
-use zone::{Action, Allocator, AllocatorConfig, Right};
+use zone::{Action, Allocator, AllocatorConfig, Authority};
 
 const STEP: u64 = 20;
 /// How long a task of a batch job runs.
@@ -26,7 +27,7 @@
     broken: bool,
     /// Its tasks, each with when it ends.
     running: BTreeMap<RunningTask, (u64, Size)>,
-    ended: Vec<Ended>,
+    ended: Vec<EndedTask>,
     failures: u32,
 }
 
@@ -40,7 +41,7 @@
     fn end(&mut self, task: RunningTask, ending: TaskEnding) {
         self.running.remove(&task);
         self.failures += u32::from(matches!(ending, TaskEnding::Failed(_)));
-        self.ended.push(Ended { task, ending, ran: Millis(RUN) });
+        self.ended.push(EndedTask { task, ending, ran: Millis(RUN) });
     }
 
     fn fail_all(&mut self) {
@@ -56,7 +57,7 @@
         }
     }
 
-    fn sync(&mut self, now: u64, req: &SyncRequest) -> Report {
+    fn sync(&mut self, now: u64, req: &SyncRequest) -> WorkerReport {
         self.ended.retain(|e| !req.forget.contains(&e.task));
         for stop in &req.stop {
             let task = RunningTask { task: stop.task.clone(), generation: stop.generation };
@@ -73,7 +74,7 @@
             }
         }
         let sizes = self.running.values().map(|(_, size)| size);
-        Report {
+        WorkerReport {
             boot: 1,
             now: Millis(now),
             total: self.size,
@@ -144,7 +145,7 @@
             failed: Default::default(),
             claimed: Default::default(),
         };
-        self.a.take_job(Millis(self.now), &job);
+        self.a.apply_job(Millis(self.now), &job);
         self.since.insert(name.clone(), self.now);
         name
     }
@@ -152,7 +153,7 @@
     fn step(&mut self) {
         self.now += STEP;
         self.workers.iter_mut().for_each(|w| w.run(self.now));
-        for action in self.a.tick(Millis(self.now), Right::Full) {
+        for action in self.a.tick(Millis(self.now), Authority::Full) {
             match action {
                 Action::Sync { worker, req, .. } => {
                     let w = self.workers.iter_mut().find(|w| w.name == worker).unwrap();
@@ -160,7 +161,7 @@
                     self.a.on_reply(Millis(self.now), &worker, req.seq, Ok(reply));
                 }
                 Action::Propose(Command::EndTasks { ended, .. }) => {
-                    self.a.tasks_ended(&ended);
+                    self.a.on_tasks_ended(&ended);
                     for end in ended {
                         let job = end.task.job;
                         match end.outcome {
@@ -208,7 +209,7 @@
             w.fail_all();
         }
         self.run_for(1_000);
-        jobs.iter().for_each(|job| self.a.drop_job(Millis(self.now), job));
+        jobs.iter().for_each(|job| self.a.remove_job(Millis(self.now), job));
     }
 }
 
@@ -301,7 +302,7 @@
 
 a_trial_ends! {
     a_task_that_lasts_is_no_trial_for_good: Service, |_, _| ();
-    a_trial_that_is_cancelled_is_over: Service, |z, job| z.a.drop_job(Millis(z.now), job);
+    a_trial_that_is_cancelled_is_over: Service, |z, job| z.a.remove_job(Millis(z.now), job);
 }
 
 /// Workers that fail all they get, beside others that are well, get few tasks.
--- a/components/zone/tests/common/mod.rs
+++ b/components/zone/tests/common/mod.rs
@@ -12,7 +12,8 @@
 use testkit::{Recorder, WorkerConfig, WorkerCore};
 use upstream::{ListedWorker, RunningTask, SyncReply, SyncRequest, WorkerState};
 use zone::{
-    Action, Allocator, AllocatorConfig, Note, Pledged, Pledges, Right, ZoneLease, takeover_wait,
+    Action, Allocator, AllocatorConfig, AllocatorEvent, Authority, OwnCommitment, PeerCommitments,
+    ZoneLease, takeover_delay,
 };
 
 pub const WORKER_SIZE: Size = Size { cpu_milli: 4_000, memory_mb: 8_000, accelerators: 0 };
@@ -31,7 +32,7 @@
 pub struct Holder {
     pub alloc: Allocator,
     pub lease: ZoneLease,
-    pub pledges: Pledges,
+    pub pledges: PeerCommitments,
     pub rate: u64,
     pub frozen: bool,
     /// Whether it is cut off from the cell.
@@ -74,7 +75,7 @@
     pub checks: u64,
     /// The zone's other instance, which takes over; it may be out of the holder's reach.
     pub mate_reachable: bool,
-    pledged: Pledged,
+    pledged: OwnCommitment,
     /// Started while cut off from the cell.
     pub zone_only_ticks: u64,
     was_running: BTreeMap<RunningTask, usize>,
@@ -109,7 +110,7 @@
             twice_notes: 0,
             checks: 0,
             mate_reachable: true,
-            pledged: Pledged::default(),
+            pledged: OwnCommitment::default(),
             zone_only_ticks: 0,
             was_running: BTreeMap::new(),
         };
@@ -197,14 +198,14 @@
         let mut alloc = Allocator::new(now, cfg);
         alloc.set_workers(now, &self.list());
         for job in self.cell.jobs.values() {
-            alloc.take_job(now, job);
+            alloc.apply_job(now, job);
         }
         self.current = self.holders.len();
         self.confirmed_at = self.now;
         self.holders.push(Some(Holder {
             alloc,
             lease: ZoneLease::default(),
-            pledges: Pledges::default(),
+            pledges: PeerCommitments::default(),
             rate,
             frozen: false,
             cut: false,
@@ -219,7 +220,7 @@
             None => true,
             Some(h) => h.cut || h.frozen,
         };
-        let granted = self.now - self.confirmed_at > takeover_wait().0;
+        let granted = self.now - self.confirmed_at > takeover_delay().0;
         if idle && granted && self.pledged.is_over(Millis(self.now)) {
             self.grant();
         }
@@ -259,10 +260,10 @@
         self.holders[i] = Some(h);
     }
 
-    fn right(&mut self, i: usize, h: &mut Holder, now: Millis) -> Right {
+    fn right(&mut self, i: usize, h: &mut Holder, now: Millis) -> Authority {
         let epoch = h.alloc.epoch();
         if h.lease.holds(now, epoch, self.applied(h)) {
-            return Right::Full;
+            return Authority::Full;
         }
         let mate = model::InstanceId::from("mate");
         let newest = self.cell.zones.epoch(&zone());
@@ -273,9 +274,9 @@
         match h.pledges.hold(now, epoch, &BTreeSet::from([mate])) {
             true => {
                 self.zone_only_ticks += 1;
-                Right::ZoneOnly
+                Authority::ZoneOnly
             }
-            false => Right::RenewOnly,
+            false => Authority::RenewOnly,
         }
     }
 
@@ -298,13 +299,13 @@
             match &command {
                 Command::CreateJob { spec, .. } => {
                     if let Some(job) = self.cell.jobs.get(&spec.name) {
-                        h.alloc.take_job(now, job);
+                        h.alloc.apply_job(now, job);
                     }
                 }
-                Command::CancelJob { name } => h.alloc.drop_job(now, name),
-                Command::EndTasks { ended, .. } => h.alloc.tasks_ended(ended),
+                Command::CancelJob { name } => h.alloc.remove_job(now, name),
+                Command::EndTasks { ended, .. } => h.alloc.on_tasks_ended(ended),
                 Command::ClaimTasks { tasks, epoch, .. } if *epoch == h.alloc.epoch() => {
-                    h.alloc.tasks_claimed(tasks);
+                    h.alloc.on_tasks_claimed(tasks);
                 }
                 _ => {}
             }
@@ -344,7 +345,7 @@
             Action::Propose(command) if !h.cut => {
                 self.commit(command);
             }
-            Action::Note(Note::TaskTwice { .. }) => self.twice_notes += 1,
+            Action::Event(AllocatorEvent::DuplicateTask { .. }) => self.twice_notes += 1,
             _ => {}
         }
     }
@@ -439,7 +440,7 @@
                 format!("{} {:?} done {} failed {:?}", j.spec.name, j.state, j.done.len(), j.failed)
             })
             .collect();
-        let counts = self.holders[self.current].as_ref().map(|h| h.alloc.counts());
+        let counts = self.holders[self.current].as_ref().map(|h| h.alloc.task_counts());
         panic!("{what} never came: {job_lines:?} {counts:?}");
     }
 
--- a/components/zone/tests/rules.rs
+++ b/components/zone/tests/rules.rs
@@ -6,9 +6,10 @@
 use clock::Millis;
 use model::{Epoch, JobKind, JobSpec, Name, Profile, Size, TaskId};
 use upstream::{
-    Ended, ListedWorker, Report, RunningTask, SyncReply, SyncRequest, TaskEnding, WorkerState,
+    EndedTask, ListedWorker, RunningTask, SyncReply, SyncRequest, TaskEnding, WorkerReport,
+    WorkerState,
 };
-use zone::{Action, Allocator, AllocatorConfig, Note, Right};
+use zone::{Action, Allocator, AllocatorConfig, AllocatorEvent, Authority};
 
 const TOTAL: Size = Size { cpu_milli: 4_000, memory_mb: 8_000, accelerators: 0 };
 
@@ -53,8 +54,8 @@
     RunningTask { task: TaskId { job: job.into(), index }, generation }
 }
 
-fn report(tasks: &[RunningTask], taken: u64) -> Report {
-    Report {
+fn report(tasks: &[RunningTask], taken: u64) -> WorkerReport {
+    WorkerReport {
         boot: 1,
         now: Millis(500),
         total: TOTAL,
@@ -76,12 +77,18 @@
 }
 
 /// Lets time pass and gives the calls that are made.
-fn calls(a: &mut Allocator, now: u64, right: Right) -> BTreeMap<Name, SyncRequest> {
+fn calls(a: &mut Allocator, now: u64, right: Authority) -> BTreeMap<Name, SyncRequest> {
     calls_in(a.tick(Millis(now), right))
 }
 
 /// Answers a worker's call with a report.
-fn answer(a: &mut Allocator, now: u64, calls: &BTreeMap<Name, SyncRequest>, w: &str, r: Report) {
+fn answer(
+    a: &mut Allocator,
+    now: u64,
+    calls: &BTreeMap<Name, SyncRequest>,
+    w: &str,
+    r: WorkerReport,
+) {
     let seq = calls[w].seq;
     a.on_reply(Millis(now), &w.into(), seq, Ok(SyncReply::Done(r)));
 }
@@ -93,39 +100,42 @@
 #[test]
 fn nothing_starts_on_a_worker_before_its_report() {
     let mut a = allocator(1);
-    a.take_job(Millis(0), &job("new", 20, 1, 1_000));
-    let first = calls(&mut a, 1, Right::Full);
+    a.apply_job(Millis(0), &job("new", 20, 1, 1_000));
+    let first = calls(&mut a, 1, Authority::Full);
     assert_eq!((first["w0"].boot, first["w0"].lease, started(&first)), (0, None, 0));
     answer(&mut a, 2, &first, "w0", report(&[], 0));
-    let second = calls(&mut a, 3, Right::Full);
+    let second = calls(&mut a, 3, Authority::Full);
     assert_eq!((second["w0"].boot, started(&second)), (1, 1));
 }
 
 #[test]
 fn foreign_tasks_count_as_taken_until_they_have_stopped() {
     let mut a = allocator(1);
-    let first = calls(&mut a, 1, Right::Full);
+    let first = calls(&mut a, 1, Authority::Full);
     answer(&mut a, 2, &first, "w0", report(&[running("gone", 0, 3)], 3_000));
-    a.take_job(Millis(3), &job("new", 20, 1, 2_000));
-    let second = calls(&mut a, 4, Right::Full);
+    a.apply_job(Millis(3), &job("new", 20, 1, 2_000));
+    let second = calls(&mut a, 4, Authority::Full);
     assert_eq!(second["w0"].stop.len(), 1, "the foreign task is stopped");
     assert_eq!(started(&second), 0, "its room is not given out yet");
     answer(&mut a, 5, &second, "w0", report(&[], 0));
-    assert_eq!(started(&calls(&mut a, 6, Right::Full)), 1);
+    assert_eq!(started(&calls(&mut a, 6, Authority::Full)), 1);
 }
 
 #[test]
 fn a_newer_epoch_at_a_worker_ends_the_allocator() {
     let mut a = allocator(2);
-    a.take_job(Millis(0), &job("new", 20, 1, 1_000));
-    let first = calls(&mut a, 1, Right::Full);
+    a.apply_job(Millis(0), &job("new", 20, 1, 1_000));
+    let first = calls(&mut a, 1, Authority::Full);
     let refused = SyncReply::Refused { epoch: Epoch(11), seq: 1 };
     a.on_reply(Millis(2), &"w0".into(), first["w0"].seq, Ok(refused));
     answer(&mut a, 2, &first, "w1", report(&[], 0));
     assert!(a.is_deposed());
-    let notes = a.tick(Millis(3), Right::Full);
-    assert!(matches!(notes[..], [Action::Note(Note::EpochOutdated { .. }), ..]), "{notes:?}");
-    assert!(a.tick(Millis(5_000), Right::Full).is_empty());
+    let notes = a.tick(Millis(3), Authority::Full);
+    assert!(
+        matches!(notes[..], [Action::Event(AllocatorEvent::EpochOutdated { .. }), ..]),
+        "{notes:?}"
+    );
+    assert!(a.tick(Millis(5_000), Authority::Full).is_empty());
 }
 
 /// What an allocator of one answering worker starts under each right: of a movable job and of one
@@ -135,13 +145,13 @@
         #[test]
         fn $name() {
             let mut a = allocator(1);
-            let first = calls(&mut a, 1, Right::Full);
+            let first = calls(&mut a, 1, Authority::Full);
             answer(&mut a, 2, &first, "w0", report(&[], 0));
-            a.take_job(Millis(3), &job("moves", 20, 1, 500));
+            a.apply_job(Millis(3), &job("moves", 20, 1, 500));
             let mut fixed = job("stays", 21, 1, 500);
             fixed.spec.may_move = false;
-            a.take_job(Millis(3), &fixed);
-            let next = calls(&mut a, 2_000, Right::$right);
+            a.apply_job(Millis(3), &fixed);
+            let next = calls(&mut a, 2_000, Authority::$right);
             let names: Vec<&str> =
                 next["w0"].start.iter().map(|s| s.task.job.as_str()).collect();
             assert_eq!(names, $starts as &[&str]);
@@ -161,16 +171,16 @@
 #[test]
 fn tasks_of_an_earlier_epoch_wait_for_every_worker_s_report() {
     let mut a = allocator(2);
-    a.take_job(Millis(0), &job("old", 5, 2, 1_000));
-    let first = calls(&mut a, 1, Right::Full);
+    a.apply_job(Millis(0), &job("old", 5, 2, 1_000));
+    let first = calls(&mut a, 1, Authority::Full);
     answer(&mut a, 2, &first, "w0", report(&[running("old", 0, 5)], 1_000));
-    assert_eq!(a.counts(), (1, 0, 1), "one is taken over, one is unaccounted for");
-    let second = calls(&mut a, 3, Right::Full);
+    assert_eq!(a.task_counts(), (1, 0, 1), "one is taken over, one is unaccounted for");
+    let second = calls(&mut a, 3, Authority::Full);
     assert_eq!(started(&second), 0);
     answer(&mut a, 4, &second, "w0", report(&[running("old", 0, 5)], 1_000));
-    assert_eq!(started(&calls(&mut a, 5, Right::Full)), 0);
+    assert_eq!(started(&calls(&mut a, 5, Authority::Full)), 0);
     answer(&mut a, 6, &first, "w1", report(&[], 0));
-    assert_eq!(started(&calls(&mut a, 7, Right::Full)), 1);
+    assert_eq!(started(&calls(&mut a, 7, Authority::Full)), 1);
 }
 
 /// A worker never reports: movable tasks of an earlier epoch start once its leases have surely run
@@ -178,13 +188,13 @@
 #[test]
 fn unaccounted_tasks_start_after_all_leases_only_if_they_may_move() {
     let mut a = allocator(2);
-    a.take_job(Millis(0), &job("moves", 5, 1, 1_000));
+    a.apply_job(Millis(0), &job("moves", 5, 1, 1_000));
     let mut fixed = job("stays", 6, 1, 1_000);
     fixed.spec.may_move = false;
-    a.take_job(Millis(0), &fixed);
+    a.apply_job(Millis(0), &fixed);
     let mut starts = Vec::new();
     for now in (1..10_000u64).step_by(100) {
-        let made = calls(&mut a, now, Right::Full);
+        let made = calls(&mut a, now, Authority::Full);
         if made.contains_key("w0") {
             for s in &made["w0"].start {
                 starts.push((now, s.task.job.to_string()));
@@ -204,15 +214,16 @@
 #[test]
 fn a_done_task_is_forgotten_by_its_worker_only_once_that_is_lasting() {
     let mut a = allocator(1);
-    a.take_job(Millis(0), &job("j", 20, 1, 1_000));
-    let first = calls(&mut a, 1, Right::Full);
+    a.apply_job(Millis(0), &job("j", 20, 1, 1_000));
+    let first = calls(&mut a, 1, Authority::Full);
     answer(&mut a, 2, &first, "w0", report(&[], 0));
-    let second = calls(&mut a, 3, Right::Full);
-    let ended = Ended { task: running("j", 0, 20), ending: TaskEnding::Done, ran: Millis(1_000) };
-    let done = Report { ended: vec![ended], ..report(&[], 0) };
+    let second = calls(&mut a, 3, Authority::Full);
+    let ended =
+        EndedTask { task: running("j", 0, 20), ending: TaskEnding::Done, ran: Millis(1_000) };
+    let done = WorkerReport { ended: vec![ended], ..report(&[], 0) };
     answer(&mut a, 1_100, &second, "w0", done.clone());
     let (mut proposed, mut third) = (None, BTreeMap::new());
-    for action in a.tick(Millis(1_101), Right::Full) {
+    for action in a.tick(Millis(1_101), Authority::Full) {
         match action {
             Action::Propose(Command::EndTasks { ended, .. }) => proposed = Some(ended),
             Action::Sync { worker, req, .. } => {
@@ -224,22 +235,22 @@
     let end = TaskEnd { task: running("j", 0, 20).task, outcome: TaskOutcome::Done };
     assert_eq!(proposed, Some(vec![end.clone()]));
     assert!(third["w0"].forget.is_empty());
-    a.tasks_ended(&[end]);
+    a.on_tasks_ended(&[end]);
     answer(&mut a, 2_201, &third, "w0", done);
-    assert_eq!(calls(&mut a, 2_202, Right::Full)["w0"].forget.len(), 1);
+    assert_eq!(calls(&mut a, 2_202, Authority::Full)["w0"].forget.len(), 1);
 }
 
 /// Fails whatever the worker was told to start.
 fn fail_all(a: &mut Allocator, now: u64, made: &BTreeMap<Name, SyncRequest>, w: &str) -> usize {
     let Some(call) = made.get(w) else { return 0 };
-    let failed = |s: &upstream::StartTask| Ended {
+    let failed = |s: &upstream::StartTask| EndedTask {
         task: RunningTask { task: s.task.clone(), generation: s.generation },
         ending: TaskEnding::Failed("broken".into()),
         ran: Millis(1),
     };
-    let ended: Vec<Ended> = call.start.iter().map(failed).collect();
+    let ended: Vec<EndedTask> = call.start.iter().map(failed).collect();
     let n = ended.len();
-    answer(a, now, made, w, Report { ended, ..report(&[], 0) });
+    answer(a, now, made, w, WorkerReport { ended, ..report(&[], 0) });
     n
 }
 
@@ -247,15 +258,17 @@
 fn a_worker_that_fails_every_task_is_set_aside_and_blames_no_job() {
     let mut a = allocator(1);
     for i in 0..5 {
-        a.take_job(Millis(0), &job(&format!("j{i}"), 20 + i, 1, 4_000));
+        a.apply_job(Millis(0), &job(&format!("j{i}"), 20 + i, 1, 4_000));
     }
-    let first = calls(&mut a, 1, Right::Full);
+    let first = calls(&mut a, 1, Authority::Full);
     answer(&mut a, 2, &first, "w0", report(&[], 0));
     let mut failures = 0;
     let mut aside = false;
     for now in (10..9_000u64).step_by(20) {
-        let actions = a.tick(Millis(now), Right::Full);
-        aside |= actions.iter().any(|x| matches!(x, Action::Note(Note::WorkerAside { .. })));
+        let actions = a.tick(Millis(now), Authority::Full);
+        aside |= actions
+            .iter()
+            .any(|x| matches!(x, Action::Event(AllocatorEvent::WorkerQuarantined { .. })));
         let ends = actions.iter().any(|x| matches!(x, Action::Propose(Command::EndTasks { .. })));
         assert!(!ends, "no job is blamed for a single worker");
         let made = calls_in(actions);
@@ -277,13 +290,13 @@
 
 fn told_that_it_fails(workers: &[&str]) {
     let mut a = allocator(workers.len());
-    a.take_job(Millis(0), &job("bad", 20, 1, 1_000));
-    let first = calls(&mut a, 1, Right::Full);
+    a.apply_job(Millis(0), &job("bad", 20, 1, 1_000));
+    let first = calls(&mut a, 1, Authority::Full);
     for w in workers {
         answer(&mut a, 2, &first, w, report(&[], 0));
     }
     for now in (10..5_000u64).step_by(20) {
-        let actions = a.tick(Millis(now), Right::Full);
+        let actions = a.tick(Millis(now), Authority::Full);
         for action in &actions {
             if let Action::Propose(Command::EndTasks { ended, .. }) = action {
                 let TaskOutcome::Failed(reason) = &ended[0].outcome else { panic!("{ended:?}") };
@@ -303,19 +316,19 @@
 fn a_wave_of_ten_thousand_cancelled_tasks_starts_none() {
     let mut a = allocator(1);
     for i in 0..10 {
-        a.take_job(Millis(0), &job(&format!("j{i}"), 20 + i, 1_000, 1_000));
+        a.apply_job(Millis(0), &job(&format!("j{i}"), 20 + i, 1_000, 1_000));
     }
-    let first = calls(&mut a, 1, Right::Full);
+    let first = calls(&mut a, 1, Authority::Full);
     for i in 0..10 {
-        a.drop_job(Millis(2), &format!("j{i}").as_str().into());
+        a.remove_job(Millis(2), &format!("j{i}").as_str().into());
     }
     answer(&mut a, 3, &first, "w0", report(&[], 0));
     for now in (4..2_000u64).step_by(20) {
-        let made = calls(&mut a, now, Right::Full);
+        let made = calls(&mut a, now, Authority::Full);
         assert_eq!(started(&made), 0);
         if made.contains_key("w0") {
             answer(&mut a, now, &made, "w0", report(&[], 0));
         }
     }
-    assert_eq!(a.counts(), (0, 0, 0));
+    assert_eq!(a.task_counts(), (0, 0, 0));
 }
--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -122,12 +122,12 @@
         .header(headers::REQUEST, call.id.as_str())
         .header(headers::CLASS, call.class.as_str())
         .header(headers::DEADLINE, call.deadline_ms.to_string())
-        .header(headers::WORK, call.work_ms.to_string());
+        .header(headers::WORK_TIME, call.work_ms.to_string());
     if let Some(key) = key {
         req = req
             .header(headers::REPEATABLE, "no")
             .header(headers::KEY, key)
-            .header(headers::ISSUED, clock::wall_now().0.to_string());
+            .header(headers::KEY_ISSUED_AT, clock::wall_now().0.to_string());
     }
     let Ok(response) = req.send_body(call.id.clone()).await else {
         return ("unreachable".into(), true);
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -12,7 +12,7 @@
 use upstream::{WorkerState, headers};
 
 fn answer_with(stream: &mut TcpStream, id: &str, length: usize, body: &[u8]) -> bool {
-    let head = [(headers::REQUEST, id.to_string()), (headers::LENGTH, length.to_string())];
+    let head = [(headers::REQUEST, id.to_string()), (headers::BODY_LENGTH, length.to_string())];
     write_wire(stream, "HTTP/1.1 200 OK", &head, body).is_ok()
 }
 
@@ -29,7 +29,7 @@
     let head = format!(
         "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n{}: {id}\r\n{}: 9\r\n\r\nhalf",
         headers::REQUEST,
-        headers::LENGTH
+        headers::BODY_LENGTH
     );
     let _ = stream.write_all(head.as_bytes());
     false
@@ -63,7 +63,7 @@
 
 fn failing(stream: &mut TcpStream, req: &Wire) -> bool {
     let id = req.header(headers::REQUEST).to_string();
-    let head = [(headers::REQUEST, id), (headers::LENGTH, "0".to_string())];
+    let head = [(headers::REQUEST, id), (headers::BODY_LENGTH, "0".to_string())];
     write_wire(stream, "HTTP/1.1 500 Broken", &head, b"").is_ok()
 }
 
@@ -79,7 +79,7 @@
         (headers::DEADLINE, "4000".to_string()),
         (headers::REPEATABLE, "no".to_string()),
         (headers::KEY, key.to_string()),
-        (headers::ISSUED, clock::wall_now().0.to_string()),
+        (headers::KEY_ISSUED_AT, clock::wall_now().0.to_string()),
     ]
 }
 
@@ -100,7 +100,7 @@
             let answer = instance.call("r1", REPEATABLE);
             assert_eq!(answer.header(headers::OUTCOME), $repeatable, "{answer:?}");
             assert_eq!(answer.header(headers::REQUEST), "r1");
-            assert_eq!(answer.header(headers::LENGTH), answer.body.len().to_string());
+            assert_eq!(answer.header(headers::BODY_LENGTH), answer.body.len().to_string());
             let before = upstreams[0].runs();
             let answer = call_once(&instance, "r2", "k2");
             assert_eq!(answer.header(headers::OUTCOME), $once, "{answer:?}");
@@ -211,7 +211,8 @@
     let now = clock::wall_now().0;
     for (issued, outcome) in [(now - day, "may-have-run"), (now + day, "refused")] {
         let issued = issued.to_string();
-        let extra = [(headers::REPEATABLE, "no"), (headers::KEY, "k"), (headers::ISSUED, &issued)];
+        let extra =
+            [(headers::REPEATABLE, "no"), (headers::KEY, "k"), (headers::KEY_ISSUED_AT, &issued)];
         assert_eq!(instance.call("r", &extra).header(headers::OUTCOME), outcome);
     }
     assert_eq!(upstreams[0].runs(), 0);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -25,7 +25,7 @@
     let body = [b"ran:".as_slice(), &req.body].concat();
     let head = [
         (headers::REQUEST, req.header(headers::REQUEST).to_string()),
-        (headers::LENGTH, body.len().to_string()),
+        (headers::BODY_LENGTH, body.len().to_string()),
     ];
     write_wire(stream, "HTTP/1.1 200 OK", &head, &body).is_ok()
 }
