--- a/components/dispatch/tests/advice.rs
+++ b/components/dispatch/tests/advice.rs
@@ -1,4 +1,4 @@
-//! When advice is asked for, about whom, and by which instance.
+//! When advice is requested, on which workers, and by which instance.
 
 mod common;
 
@@ -36,17 +36,17 @@
     b.join("w1", 1);
     b.join("w2", 1);
     b.submit(1, spec(vec![step(1)]));
-    let ask = b.advice_requests(Some(1)).remove(0);
-    b.answer_advice(&ask, &["w1"]);
+    let request = b.advice_requests(Some(1)).remove(0);
+    b.answer_advice(&request, &["w1"]);
     assert_eq!(b.starts().len(), 1, "w1 is full now");
     b.submit(2, spec(vec![step(2)]));
-    let ask = b.advice_requests(Some(2)).remove(0);
-    assert_eq!(ask.workers.len(), 2);
-    b.answer_advice(&ask, &["w1", "w2"]);
+    let request = b.advice_requests(Some(2)).remove(0);
+    assert_eq!(request.workers.len(), 2);
+    b.answer_advice(&request, &["w1", "w2"]);
     b.advance(Millis(500));
     b.report("w1", vec![], vec![end(1, task(1, 0, 0), 1, EndKind::Done)]);
     b.commit();
-    assert_eq!(b.starts().len(), 3, "room that comes is used without another call");
+    assert_eq!(b.starts().len(), 3, "capacity that becomes free is used without another call");
     assert_eq!(b.advice_requests(Some(2)).len(), 1);
 }
 
@@ -57,15 +57,15 @@
     b.join("w1", 8);
     let second = StepSpec { depends_on: vec![0], ..step(2) };
     b.submit(1, spec(vec![step(1), second]));
-    let ask = b.advice_requests(Some(1)).remove(0);
-    b.answer_advice(&ask, &["w1"]);
+    let request = b.advice_requests(Some(1)).remove(0);
+    b.answer_advice(&request, &["w1"]);
     b.started("w1", task(1, 0, 0), 1, Ok(()));
-    // Declared run times are often too long, so half of the declared time may be all there is.
+    // Declared run times are often too long, so the run may already end after half of the declared time.
     b.advance(Millis(300));
     b.report("w1", vec![row(task(1, 0, 0), 1)], vec![]);
-    let advice_requests = b.advice_requests(Some(1));
-    assert_eq!(advice_requests.len(), 2, "the step runs for 800 ms by what was declared");
-    b.answer_advice(&advice_requests[1], &["w1"]);
+    let requests = b.advice_requests(Some(1));
+    assert_eq!(requests.len(), 2, "the step runs for 800 ms by what was declared");
+    b.answer_advice(&requests[1], &["w1"]);
     b.report("w1", vec![], vec![end(1, task(1, 0, 0), 1, EndKind::Done)]);
     b.commit();
     assert_eq!(b.starts().len(), 3, "the second step starts in the commit that opens it");
@@ -80,10 +80,10 @@
     assert_eq!(b.advice_requests(Some(1)).len(), 1);
     b.advance(Millis(300));
     b.advance(Millis(100));
-    let helpers: Vec<String> =
+    let callers: Vec<String> =
         b.advice_requests(Some(1)).iter().map(|a| a.caller.to_string()).collect();
-    assert_eq!(helpers.len(), 2);
-    assert_ne!(helpers[0], helpers[1]);
+    assert_eq!(callers.len(), 2);
+    assert_ne!(callers[0], callers[1]);
 }
 
 #[test]
@@ -93,13 +93,13 @@
     b.join("w1", 1);
     b.join("w2", 1);
     b.submit_bulk(1, spec(vec![step(3)]));
-    let ask = b.advice_requests(Some(1)).remove(0);
-    b.answer_advice(&ask, &["w1", "w2"]);
+    let request = b.advice_requests(Some(1)).remove(0);
+    b.answer_advice(&request, &["w1", "w2"]);
     assert_eq!(b.starts().len(), 2, "both are full now");
     b.submit_bulk(2, spec(vec![step(1)]));
     b.advance(Millis(100));
-    let ask = b.advice_requests(Some(2)).remove(0);
-    assert_eq!(ask.workers.len(), 2);
+    let request = b.advice_requests(Some(2)).remove(0);
+    assert_eq!(request.workers.len(), 2);
 }
 
 #[test]
@@ -108,10 +108,10 @@
     b.set_advice_callers(&["e1"]);
     b.join("w1", 1);
     b.submit_bulk(1, spec(vec![step(2)]));
-    let ask = b.advice_requests(Some(1)).remove(0);
-    b.answer_advice(&ask, &["w1"]);
+    let request = b.advice_requests(Some(1)).remove(0);
+    b.answer_advice(&request, &["w1"]);
     assert_eq!(b.starts().len(), 1);
-    // A ticket holds for 2 s and a call takes 0.4 s.
+    // A ticket is valid for 2 s and a call takes 0.4 s.
     b.advance(Millis(1_300));
     assert_eq!(b.advice_requests(Some(1)).len(), 1);
     b.advance(Millis(300));
@@ -119,17 +119,17 @@
     assert_eq!(b.advice_requests(Some(1)).len(), 2);
 }
 
-/// Looking through all workers takes the leader's processor, which answers need.
+/// Examining all workers takes processor time of the leader, which it needs to answer calls.
 #[test]
 fn a_ticket_for_a_worker_that_fell_silent_has_nobody_looked_for_all_the_time() {
     let mut b = Harness::new("advice");
     b.set_advice_callers(&["e1", "e2", "e3"]);
     b.join("w1", 1);
     b.submit(1, spec(vec![step(2)]));
-    let ask = b.advice_requests(Some(1)).remove(0);
-    b.answer_advice(&ask, &["w1"]);
+    let request = b.advice_requests(Some(1)).remove(0);
+    b.answer_advice(&request, &["w1"]);
     b.renewal_fails("w1", common::NO_ANSWER());
-    // By now the ticket has run out, and its worker cannot be asked about.
+    // By now the ticket has expired, and no advice can be requested on its worker.
     b.advance(Millis(2_500));
     let scans: u32 = (0..40)
         .map(|_| {
@@ -143,42 +143,42 @@
 #[test]
 fn a_plan_looks_through_all_workers_for_a_few_steps_only() {
     let mut b = Harness::new("advice");
-    let helpers: Vec<String> = (0..40).map(|i| format!("e{i}")).collect();
-    b.set_advice_callers(&helpers.iter().map(String::as_str).collect::<Vec<_>>());
+    let callers: Vec<String> = (0..40).map(|i| format!("e{i}")).collect();
+    b.set_advice_callers(&callers.iter().map(String::as_str).collect::<Vec<_>>());
     b.join("w1", 8);
     for id in 1..=30 {
         b.submit(id, spec(vec![step(9)]));
     }
     b.advance(Millis(100));
-    let asked =
+    let requested =
         |b: &Harness| (1..=30).filter(|id| !b.advice_requests(Some(*id)).is_empty()).count();
-    assert!(asked(&b) < 30, "not all at once");
+    assert!(requested(&b) < 30, "not all at once");
     (0..10).for_each(|_| b.advance(Millis(20)));
-    assert_eq!(asked(&b), 30, "but soon");
+    assert_eq!(requested(&b), 30, "but soon");
 }
 
-/// A plan that has looked for as many steps as it may must not drop the steps that it was to ask about
-/// ahead of need.
+/// A plan that has used up its examination budget must not drop the steps for which it was to request advice ahead of
+/// need.
 #[test]
 fn advice_ahead_is_asked_for_later_if_a_plan_has_looked_for_many_steps() {
     let mut b = Harness::new("advice");
-    let helpers: Vec<String> = (0..40).map(|i| format!("e{i}")).collect();
-    b.set_advice_callers(&helpers.iter().map(String::as_str).collect::<Vec<_>>());
+    let callers: Vec<String> = (0..40).map(|i| format!("e{i}")).collect();
+    b.set_advice_callers(&callers.iter().map(String::as_str).collect::<Vec<_>>());
     b.join("w1", 8);
     let second = StepSpec { depends_on: vec![0], ..step(1) };
     b.submit(1, spec(vec![step(1), second]));
-    let ask = b.advice_requests(Some(1)).remove(0);
-    // The answer and a backlog are planned for together.
+    let request = b.advice_requests(Some(1)).remove(0);
+    // One plan handles both the answer and a backlog.
     for id in 2..=30 {
         b.submit(id, spec(vec![step(9)]));
     }
-    b.answer_advice(&ask, &["w1"]);
+    b.answer_advice(&request, &["w1"]);
     (0..20).for_each(|_| b.advance(Millis(20)));
     let steps: Vec<u32> = b.advice_requests(Some(1)).iter().map(|a| a.step.step).collect();
     assert!(steps.contains(&1), "{steps:?}");
 }
 
-/// The leader's figures tell a backlog that waits for calls for advice from one that waits for room.
+/// The leader's figures distinguish a backlog that waits for calls for advice from one that waits for capacity.
 #[test]
 fn the_figures_tell_how_many_steps_wait_for_an_instance_to_make_a_call() {
     let mut b = Harness::new("advice");
--- a/components/dispatch/tests/advice_load.rs
+++ b/components/dispatch/tests/advice_load.rs
@@ -15,7 +15,7 @@
     (0..INSTANCES).map(|i| format!("e{i:02}")).collect()
 }
 
-/// A fleet with room for everything, and sixteen instances that call for advice.
+/// Returns a harness with capacity for everything and sixteen instances that call for advice.
 fn fleet(workers: usize) -> Harness {
     let mut b = Harness::new("advice, long");
     let names = names();
@@ -26,8 +26,8 @@
     b
 }
 
-/// Hands in batch steps, more than there are instances.
-fn hand_in_backlog(b: &mut Harness) {
+/// Submits more batch steps than there are instances.
+fn submit_backlog(b: &mut Harness) {
     for n in 0..40 {
         let batch = StepSpec { estimate: Millis(4_000), ..step(4) };
         b.submit_bulk(0x1000 + n, spec(vec![batch]));
@@ -36,7 +36,7 @@
     b.advance(Millis(200));
 }
 
-/// Gives the instances that make long calls, as far as these are not answered.
+/// Returns the instances that were sent long calls, none of which is answered.
 fn busy_with_long_calls(b: &Harness) -> BTreeSet<String> {
     let long = |a: &AdviceRequest| a.step.job.0 >= 0x1000;
     b.advice_requests(None).into_iter().filter(long).map(|a| a.caller.to_string()).collect()
@@ -45,23 +45,23 @@
 #[test]
 fn a_new_leader_keeps_a_third_of_the_instances_for_short_calls() {
     let mut b = fleet(8);
-    hand_in_backlog(&mut b);
+    submit_backlog(&mut b);
     assert_eq!(busy_with_long_calls(&b).len(), INSTANCES - INSTANCES / 3);
 }
 
-/// Load pattern: batch steps wait by the dozen while hardly any quick ones come. Instances that were kept free for calls
-/// nobody makes stood idle beside workers with room.
+/// Load pattern: dozens of batch steps wait while hardly any quick ones come. Instances that were reserved for short calls
+/// stood idle although workers had capacity.
 #[test]
 fn without_short_calls_nearly_all_instances_make_long_ones() {
     let mut b = fleet(8);
     b.advance(Millis(100));
     b.advance(Millis(20_000));
-    hand_in_backlog(&mut b);
+    submit_backlog(&mut b);
     assert_eq!(busy_with_long_calls(&b).len(), INSTANCES - INSTANCES / 8);
 }
 
-/// Load pattern: quick steps come by the dozen a second. Each call takes 25 ms or more, so a third of the instances is
-/// what a burst of them may need.
+/// Load pattern: dozens of quick steps come each second. Each call takes 25 ms or more, so a burst of them may need a
+/// third of the instances.
 #[test]
 fn beside_many_short_calls_a_third_of_the_instances_stays_free_of_long_ones() {
     let mut b = fleet(60);
@@ -72,11 +72,10 @@
             b.submit(id, spec(vec![step(1)]));
         }
         b.advance(Millis(20));
-        let advice_requests: Vec<AdviceRequest> =
-            ids.flat_map(|id| b.advice_requests(Some(id))).collect();
-        for ask in advice_requests {
-            let allowed: Vec<String> = ask.workers.iter().map(ToString::to_string).collect();
-            b.answer_advice(&ask, &allowed.iter().map(String::as_str).collect::<Vec<_>>());
+        let requests: Vec<AdviceRequest> = ids.flat_map(|id| b.advice_requests(Some(id))).collect();
+        for request in requests {
+            let allowed: Vec<String> = request.workers.iter().map(ToString::to_string).collect();
+            b.answer_advice(&request, &allowed.iter().map(String::as_str).collect::<Vec<_>>());
         }
         b.advance(Millis(20));
         for (w, start) in b.starts().split_off(confirmed) {
@@ -84,20 +83,20 @@
             confirmed += 1;
         }
     }
-    hand_in_backlog(&mut b);
+    submit_backlog(&mut b);
     let busy = busy_with_long_calls(&b).len();
     assert!(0 < busy && busy <= INSTANCES - INSTANCES / 3, "{busy} make long calls");
 }
 
-/// Load pattern: steps wait for an instance to make a call, on a fleet that has little room left, so that a call which names
-/// few workers finds places for few tasks, and the step waits for another one. A call of 400 ms and 5 ms a worker names
-/// 40 for half as much again.
+/// Load pattern: steps wait for an instance to make a call, on a fleet with little free capacity. A call on few workers
+/// then places few tasks, and the step waits for another call. A call takes 400 ms and 5 ms a worker, so 40
+/// workers add only half to its time.
 #[test]
 fn where_calls_are_short_a_long_one_names_more_workers() {
     let mut b = fleet(60);
     b.submit_bulk(1, spec(vec![step(2)]));
     assert_eq!(b.advice_requests(Some(1)).remove(0).workers.len(), 10);
-    hand_in_backlog(&mut b);
+    submit_backlog(&mut b);
     let answered = b.advice_requests(Some(1)).remove(0);
     b.answer_advice(&answered, &["w00", "w01"]);
     b.advance(Millis(50));
--- a/components/dispatch/tests/capacity.rs
+++ b/components/dispatch/tests/capacity.rs
@@ -1,7 +1,7 @@
-//! A worker's capacity shrinks and grows again while it runs, and its announcements say so.
+//! A worker's capacity shrinks and grows while it runs, and its announcements report the change.
 //!
-//! What a worker said when it was first heard of was kept for its whole life, so a worker that had lost half of its
-//! cores went on being filled to what it had before, and one that had got them back stood half empty.
+//! If the capacity of the first announcement held for a worker's whole incarnation, a worker that lost half of its cores
+//! would be filled beyond what it has left, and one that got them back would stay half empty.
 
 mod common;
 
@@ -12,13 +12,13 @@
 use model::Size;
 use workload::{EndKind, StepSpec};
 
-/// Lets a worker announce itself with so many cores, in its announcement of a number.
+/// Lets a worker announce itself with this many cores, in the announcement of this number.
 fn announce(b: &mut Harness, name: &str, cores: u64, number: u64) {
     b.feed(Input::Announcement(WorkerAnnouncement { number, ..announcement(name, cores) }));
     b.commit();
 }
 
-/// A dispatcher with one worker of eight cores.
+/// Returns a harness with one worker of eight cores.
 fn with_one_worker() -> Harness {
     let mut b = Harness::new("");
     b.join("w", 8);
@@ -44,8 +44,8 @@
     assert_eq!(b.starts().len(), 12);
 }
 
-/// The room of a worker that is over it comes back only once enough has ended; what is being stopped counts until
-/// then. Even a task that takes no processor time would bring it further over.
+/// An overcommitted worker has free capacity only once enough of its runs have ended; a run that is being stopped counts
+/// until then. Even a task that takes no processor time would overcommit it further.
 #[test]
 fn nothing_starts_on_a_worker_that_is_over_its_room() {
     let mut b = with_one_worker();
@@ -103,7 +103,7 @@
     assert_eq!(b.starts().len(), 4);
 }
 
-/// Room is not made for a large task on a worker that has become too small for it.
+/// No capacity is freed for a large task on a worker that has become too small for it.
 #[test]
 fn no_run_is_stopped_for_a_task_that_is_larger_than_what_is_left() {
     let mut b = with_one_worker();
@@ -118,8 +118,8 @@
     assert!(b.stops().is_empty());
 }
 
-/// A quarter of the workers shrink to little more than half, and a burst comes on top: each worker is filled to what it has
-/// left, and the rest waits.
+/// A quarter of the workers shrink to little more than half, and a burst of tasks follows: each worker is filled to the
+/// capacity it has left, and the other tasks wait.
 #[test]
 fn a_burst_on_workers_that_have_shrunk_fills_what_is_left() {
     let mut b = Harness::new("");
--- a/components/dispatch/tests/common/downtime_checker.rs
+++ b/components/dispatch/tests/common/downtime_checker.rs
@@ -1,57 +1,59 @@
-//! The promise to tasks that last, judged by what runs on the workers and by nobody's opinion: none is away for long
-//! while some worker has room for it that it may use.
+//! Checks that no long-running task is down for long while some worker has capacity for it that it may use. The check
+//! goes only by what runs on the workers, not by what the dispatcher reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use clock::Millis;
 use workload::{JobId, ReplicatedState, StepKey, StepSpec, TaskKey, WorkerId};
 
-use super::fleet::Service;
+use super::fleet::AdviceService;
 use super::host::Host;
 
-/// For how long a task may be away whatever room there is.
+/// How long a task may be down whatever capacity there is.
 const MAX_DOWNTIME: Millis = Millis(6_000);
-/// For how long on end there may be room for it from then on.
+/// How long without a break there may be capacity for it from then on.
 const MAX_WAIT_WITH_CAPACITY: Millis = Millis(3_000);
-/// For how long nothing of ours may have disturbed the fleet for room to count.
+/// How long the test must not have disturbed the fleet for capacity to count.
 const MIN_UNDISTURBED: Millis = Millis(4_000);
-/// How many times the room that the task takes a worker must have: what is free in this moment may be promised.
-const ROOM_FACTOR: u64 = 2;
+/// How many times the capacity that a task requires a worker must have free: what is free at this moment may already be
+/// reserved for another task.
+const CAPACITY_FACTOR: u64 = 2;
 
-/// A task that is away for too long.
+/// A task that is down for too long.
 #[derive(Debug)]
 pub struct DownTask {
     pub task: TaskKey,
     pub last_ran_at: Millis,
-    /// Since when there has been room for it all the time.
+    /// Since when there has been capacity for it without a break.
     pub capacity_since: Millis,
-    /// Who has room for it now.
+    /// The workers that have capacity for it now.
     pub capacity_on: Vec<WorkerId>,
 }
 
-/// When tasks that last ran last, and since when there has been room for those that are away.
+/// A check of how long long-running tasks are down. It knows when each was last running and since when there has been
+/// capacity for it.
 #[derive(Default)]
 pub struct DowntimeChecker {
     ran_at: BTreeMap<TaskKey, Millis>,
     capacity_since: BTreeMap<TaskKey, Millis>,
-    /// For how long one was away at most with room for it all the time and nothing that disturbed the fleet.
+    /// The longest time that a task was down with capacity for it and without any disturbance of the fleet.
     pub longest: Millis,
-    /// Whether nothing is judged, as in cases that have a closer bound of their own.
+    /// Whether times are only recorded, as for tests that have a closer bound of their own.
     pub record_only: bool,
 }
 
-/// What there is around the tasks.
+/// The state of the fleet that the check reads.
 pub struct FleetState<'a> {
     pub replicated: &'a ReplicatedState,
     pub hosts: &'a BTreeMap<WorkerId, Host>,
-    pub service: &'a Service,
-    /// When something of ours last disturbed the fleet.
+    pub service: &'a AdviceService,
+    /// When the test last disturbed the fleet.
     pub disturbed_at: Millis,
 }
 
 impl FleetState<'_> {
-    /// Gives the tasks of a job that are to run all the time.
-    fn wanted(&self, id: JobId) -> Vec<(TaskKey, &StepSpec)> {
+    /// Returns the tasks of a job that are to run all the time.
+    fn expected_tasks(&self, id: JobId) -> Vec<(TaskKey, &StepSpec)> {
         let Some(job) = self.replicated.job(id).filter(|j| !j.state.is_final()) else {
             return Vec::new();
         };
@@ -63,10 +65,11 @@
         tasks.collect()
     }
 
-    /// Tells whether a worker is well, fit for a task, allowed, not crowded, and has room for it.
+    /// Returns whether a worker is healthy, suitable and allowed for a task, below the step's limit per worker, and has
+    /// capacity for it.
     fn has_capacity(&self, task: &TaskKey, spec: &StepSpec, id: &WorkerId, host: &Host) -> bool {
         let fits =
-            host.is_usable() && spec.required_capacity().times(ROOM_FACTOR).fits(&host.free());
+            host.is_usable() && spec.required_capacity().times(CAPACITY_FACTOR).fits(&host.free());
         let labelled = spec.constraint.as_ref().is_none_or(|l| host.info.labels.contains(l));
         let siblings = || host.long_running_tasks().filter(|t| t.step == task.step).count();
         let crowded = || spec.max_per_worker > 0 && siblings() >= spec.max_per_worker as usize;
@@ -75,17 +78,17 @@
 }
 
 impl DowntimeChecker {
-    /// Looks at the tasks of some jobs; gives one that is away for too long.
+    /// Examines the tasks of some jobs and returns one that is down for too long.
     pub fn examine<'a>(
         &mut self,
         now: Millis,
         jobs: impl Iterator<Item = &'a JobId>,
-        around: &FleetState<'_>,
+        state: &FleetState<'_>,
     ) -> Option<DownTask> {
         let running: BTreeSet<TaskKey> =
-            around.hosts.values().flat_map(Host::long_running_tasks).collect();
-        let mut missing = None;
-        for (task, spec) in jobs.flat_map(|id| around.wanted(*id)) {
+            state.hosts.values().flat_map(Host::long_running_tasks).collect();
+        let mut down_task = None;
+        for (task, spec) in jobs.flat_map(|id| state.expected_tasks(*id)) {
             let ran_at = self.ran_at.entry(task).or_insert(now);
             if running.contains(&task) {
                 *ran_at = now;
@@ -94,22 +97,20 @@
             }
             let ran_at = *ran_at;
             let has_capacity =
-                |(id, host): &(&WorkerId, &Host)| around.has_capacity(&task, spec, id, host);
-            if !around.hosts.iter().any(|place| has_capacity(&place)) {
+                |(id, host): &(&WorkerId, &Host)| state.has_capacity(&task, spec, id, host);
+            if !state.hosts.iter().any(|candidate| has_capacity(&candidate)) {
                 self.capacity_since.remove(&task);
                 continue;
             }
             let capacity_since = *self.capacity_since.entry(task).or_insert(now);
-            let beside_room = now.since(capacity_since.max(ran_at).max(around.disturbed_at));
-            self.longest = self.longest.max(beside_room);
-            let counts_from = capacity_since
-                .max(ran_at + MAX_DOWNTIME)
-                .max(around.disturbed_at + MIN_UNDISTURBED);
+            let wait_with_capacity = now.since(capacity_since.max(ran_at).max(state.disturbed_at));
+            self.longest = self.longest.max(wait_with_capacity);
+            let counts_from =
+                capacity_since.max(ran_at + MAX_DOWNTIME).max(state.disturbed_at + MIN_UNDISTURBED);
             if now.since(counts_from) >= MAX_WAIT_WITH_CAPACITY && !self.record_only {
-                let capacity_on =
-                    around.hosts.iter().filter(has_capacity).map(|(id, _)| id.clone());
+                let capacity_on = state.hosts.iter().filter(has_capacity).map(|(id, _)| id.clone());
                 let capacity_on = capacity_on.collect();
-                missing.get_or_insert(DownTask {
+                down_task.get_or_insert(DownTask {
                     task,
                     last_ran_at: ran_at,
                     capacity_since,
@@ -117,6 +118,6 @@
                 });
             }
         }
-        missing
+        down_task
     }
 }
--- a/components/dispatch/tests/common/fleet.rs
+++ b/components/dispatch/tests/common/fleet.rs
@@ -1,6 +1,6 @@
-//! A fleet around the pure dispatcher: workers whose runs take time, instances that call for advice one
-//! call at a time, a log whose commits take time, and callers that come back. Time goes on in steps, and
-//! everything follows from the seed.
+//! A simulated fleet around the dispatcher: workers whose runs take time, instances that make one call for advice at a
+//! time, a log whose commits take time, and callers that retry. Time advances in steps, and everything is deterministic
+//! for a seed.
 
 mod checks;
 pub mod crash;
@@ -28,23 +28,24 @@
 use super::wait_checker::WaitChecker;
 use super::{Harness, NO_ANSWER};
 
-/// By how much time goes on at once, which is also what the way to a worker takes.
+/// The step by which time advances, which is also the latency to a worker.
 pub const STEP: Millis = Millis(10);
-/// How long before it ends a worker says that it leaves.
+/// How long before its end a worker announces that it leaves.
 pub const NOTICE: Millis = Millis(2_000);
-/// How often a worker announces itself: `node` counts four seconds as a little more than two such periods.
-const ANNOUNCED_EVERY: Millis = Millis(1_900);
-/// What it takes to commit a batch.
-const COMMIT: Millis = Millis(10);
-/// For how long a ticket holds, and what calls for advice take, in microseconds: as the queues' policy
-/// says.
-const TICKET: Millis = Millis(2_000);
-const SHORT_CALL: (u64, u64) = (20_000, 500);
-const LONG_CALL: (u64, u64) = (400_000, 5_000);
-/// How many of a hundred workers the advice service allows for a step unless told otherwise.
-const ALLOWED: u64 = 70;
-
-/// Gives a number that follows from others and has nothing to do with them.
+/// How often a worker announces itself; `node` takes four seconds for a little more than two such periods.
+const ANNOUNCEMENT_INTERVAL: Millis = Millis(1_900);
+/// How long the commit of a batch takes.
+const COMMIT_TIME: Millis = Millis(10);
+/// How long a ticket is valid. This and the cost of calls for advice follow the queues' policy.
+const TICKET_VALIDITY: Millis = Millis(2_000);
+/// The cost of a call for advice on a quick job in microseconds: the base cost, and the cost for each worker.
+const SHORT_CALL_COST: (u64, u64) = (20_000, 500);
+/// The same for other jobs.
+const LONG_CALL_COST: (u64, u64) = (400_000, 5_000);
+/// How many of a hundred workers the advice service allows for a step by default.
+const DEFAULT_ALLOWED_PERCENT: u64 = 70;
+
+/// Returns a pseudorandom number that depends only on the seed and the parts.
 fn draw(seed: u64, parts: &[u64]) -> u64 {
     parts.iter().fold(seed, |n, part| {
         let n = (n ^ part).wrapping_add(0x9e37_79b9_7f4a_7c15);
@@ -54,26 +55,26 @@
     })
 }
 
-/// The service that says which workers may run a step.
-pub struct Service {
+/// The advice service, which decides which workers may run a step.
+pub struct AdviceService {
     seed: u64,
     numbers: BTreeMap<WorkerId, u64>,
     /// How many of a hundred workers it allows for a step.
-    share: u64,
+    allowed_percent: u64,
 }
 
-impl Service {
-    /// Gives the number of a worker, which is what the service goes by.
+impl AdviceService {
+    /// Returns the number of a worker, by which the service decides.
     pub fn number(&self, worker: &WorkerId) -> u64 {
         self.numbers.get(worker).copied().unwrap_or(0)
     }
 
     pub fn allows(&self, step: &StepKey, number: u64) -> bool {
-        draw(self.seed, &[step.job.0, u64::from(step.step), number]) % 100 < self.share
+        draw(self.seed, &[step.job.0, u64::from(step.step), number]) % 100 < self.allowed_percent
     }
 }
 
-/// What a job stands for in the figures.
+/// The kind of a job, by which waits and failures are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
     Quick,
@@ -93,12 +94,13 @@
     pub first_start: Option<Millis>,
 }
 
-/// A call for advice under way.
+/// A call for advice that is in progress.
 struct PendingAdvice {
     due: Millis,
-    ask: AdviceRequest,
+    request: AdviceRequest,
 }
 
+/// A dispatcher with its workers, its advice callers and the jobs of its callers.
 pub struct Fleet {
     pub harness: Harness,
     pub hosts: BTreeMap<WorkerId, Host>,
@@ -109,30 +111,30 @@
     pub crashes: Crashes,
     pub failures: Failures,
     seed: u64,
-    service: Service,
+    service: AdviceService,
     callers: Vec<String>,
-    /// Until when each instance is busy with calls for advice.
+    /// When each instance has finished its calls for advice.
     busy_until: BTreeMap<InstanceId, Millis>,
-    asked: Vec<PendingAdvice>,
+    pending_advice: Vec<PendingAdvice>,
     committing: VecDeque<(Millis, u64, Vec<Command>)>,
-    /// Orders on their way to workers.
+    /// Orders that are being sent to workers.
     orders: Vec<Action>,
-    /// Orders that get no answer, and when that is noticed.
+    /// Orders that get no answer, and when they time out.
     unanswered: Vec<(Millis, Action)>,
     has_leader: bool,
     term: u64,
-    /// The lives of workers that said no births before, by the names under which they were known.
-    named: BTreeMap<WorkerId, WorkerId>,
-    /// When something of ours last disturbed the fleet.
+    /// The incarnations of workers that announced none before, by their earlier ids.
+    incarnations: BTreeMap<WorkerId, WorkerId>,
+    /// When the test last disturbed the fleet.
     disturbed_at: Millis,
-    /// The jobs with tasks that last.
+    /// The jobs with long-running tasks.
     long_running_jobs: Vec<JobId>,
-    /// The decisions that the dispatcher told of: what each is about, and the rest.
-    notes: Vec<(String, String)>,
+    /// The decisions that the dispatcher logged: the subject, and the whole line.
+    log_lines: Vec<(String, String)>,
 }
 
 impl Fleet {
-    /// Makes a fleet with so many instances that can call for advice.
+    /// Returns a fleet without workers, with a number of instances that can call for advice.
     pub fn new(seed: u64, callers: usize) -> Fleet {
         let mut fleet = Fleet {
             harness: Harness::new("advice, long"),
@@ -144,25 +146,29 @@
             crashes: Crashes::default(),
             failures: Failures::default(),
             seed,
-            service: Service { seed, numbers: BTreeMap::new(), share: ALLOWED },
+            service: AdviceService {
+                seed,
+                numbers: BTreeMap::new(),
+                allowed_percent: DEFAULT_ALLOWED_PERCENT,
+            },
             callers: (0..callers).map(|i| format!("e{i:02}")).collect(),
             busy_until: BTreeMap::new(),
-            asked: Vec::new(),
+            pending_advice: Vec::new(),
             committing: VecDeque::new(),
             orders: Vec::new(),
             unanswered: Vec::new(),
             has_leader: true,
             term: 1,
-            named: BTreeMap::new(),
+            incarnations: BTreeMap::new(),
             disturbed_at: Millis::ZERO,
             long_running_jobs: Vec::new(),
-            notes: Vec::new(),
+            log_lines: Vec::new(),
         };
         fleet.set_callers();
         fleet
     }
 
-    /// Notes that something of ours has just disturbed the fleet or ceased to.
+    /// Records that the test has just disturbed the fleet or ended a disturbance.
     pub(super) fn note_disturbance(&mut self) {
         self.disturbed_at = self.harness.now;
     }
@@ -172,23 +178,23 @@
         self.harness.set_advice_callers(&names);
     }
 
-    /// Has the advice service allow every worker for every step.
+    /// Makes the advice service allow every worker for every step.
     pub fn allow_all(&mut self) {
         self.allow(100);
     }
 
-    /// Has the advice service allow so many of a hundred workers for a step.
-    pub fn allow(&mut self, share: u64) {
-        self.service.share = share;
+    /// Makes the advice service allow this percentage of the workers for a step.
+    pub fn allow(&mut self, allowed_percent: u64) {
+        self.service.allowed_percent = allowed_percent;
     }
 
-    /// Gives the workers that the advice service allows for a step.
+    /// Returns the workers that the advice service allows for a step.
     pub fn allowed(&self, step: &StepKey) -> Vec<WorkerId> {
         let allows = |id: &&WorkerId| self.service.allows(step, self.service.number(id));
         self.hosts.keys().filter(allows).cloned().collect()
     }
 
-    /// Lets workers join that bear a label, in turn in each of three zones.
+    /// Lets workers with a label join, in rotation in three zones.
     pub fn join(&mut self, label: &str, count: usize, capacity: Size) {
         for i in 0..count {
             let name = format!("{label}{i:02}");
@@ -211,40 +217,40 @@
         let number = self.service.numbers.len() as u64;
         self.service.numbers.insert(info.id.clone(), number);
         self.hosts.insert(info.id.clone(), Host::new(info.clone()));
-        self.announcement(info, 1);
+        self.feed_announcement(info, 1);
     }
 
-    fn announcement(&mut self, info: WorkerInfo, number: u64) {
+    fn feed_announcement(&mut self, info: WorkerInfo, number: u64) {
         let leaving = number > 1;
         let remaining = leaving.then_some(NOTICE);
         self.handle(Input::Announcement(WorkerAnnouncement { info, leaving, remaining, number }));
     }
 
-    /// Has a worker announce itself again, as it does every few seconds.
+    /// Makes a worker announce itself again, as it does every few seconds.
     pub fn announce(&mut self, id: &WorkerId) {
         let info = self.hosts.get(id).filter(|h| !h.crashed).map(|h| h.info.clone());
-        info.into_iter().for_each(|info| self.announcement(info, 1));
+        info.into_iter().for_each(|info| self.feed_announcement(info, 1));
     }
 
-    /// Has all workers that are reached announce themselves when they are due to. A leader that has forgotten them
-    /// knows them again by that alone.
+    /// Makes all workers that can be reached announce themselves when that is due. A leader that has forgotten a worker
+    /// learns of it again only by its announcement.
     fn announce_due(&mut self) {
-        if self.harness.now.0 % ANNOUNCED_EVERY.0 < STEP.0 {
+        if self.harness.now.0 % ANNOUNCEMENT_INTERVAL.0 < STEP.0 {
             let reached = self.workers(|h| !h.fake.silent && !h.leaving && !h.crashed);
             reached.iter().for_each(|id| self.announce(id));
         }
     }
 
-    /// Has a worker say that it leaves shortly.
+    /// Makes a worker announce that it leaves shortly.
     pub fn announce_leaving(&mut self, id: &WorkerId) {
         let Some(host) = self.hosts.get_mut(id) else { return };
         host.leaving = true;
         let info = host.info.clone();
         self.note_disturbance();
-        self.announcement(info, 2);
+        self.feed_announcement(info, 2);
     }
 
-    /// Ends a worker with all that it runs; nobody answers there any more.
+    /// Ends a worker with all that it runs; nothing answers at its address any more.
     pub fn remove(&mut self, id: &WorkerId) {
         self.handle(Input::Left(id.clone()));
         if let Some(host) = self.hosts.get_mut(id) {
@@ -255,7 +261,7 @@
 
     pub fn set_silent(&mut self, id: &WorkerId, silent: bool) {
         self.note_disturbance();
-        // A life that is over never answers again.
+        // An incarnation that is over never answers again.
         if let Some(host) = self.hosts.get_mut(id).filter(|h| !h.crashed) {
             host.fake.silent = silent;
         }
@@ -270,7 +276,7 @@
         self.harness.dispatcher.handle(m, input);
     }
 
-    /// Hands in a job at a queue; without a leader the caller keeps it and comes back.
+    /// Submits a job to a queue; without a leader the caller retries once there is one.
     pub fn submit_job(&mut self, kind: Kind, queue: &str, steps: Vec<StepSpec>) -> JobId {
         let id = JobId(self.jobs.len() as u64 + 1);
         if steps.iter().any(|s| s.long_running) {
@@ -290,7 +296,7 @@
         self.call(id, job.path.clone(), verb);
     }
 
-    /// A call's token is the number of its job.
+    /// Makes a call, whose token is the number of its job.
     fn call(&mut self, id: JobId, path: String, verb: Verb) {
         if self.has_leader {
             let call = Call::Job { host: "h".into(), path: path.as_str().into(), size: 100, verb };
@@ -298,17 +304,17 @@
         }
     }
 
-    /// Loses the leader with everything that was not committed.
+    /// Ends the leader with everything that was not committed.
     pub fn lose_leader(&mut self) {
         self.has_leader = false;
         self.committing.clear();
         self.orders.clear();
         self.unanswered.clear();
-        self.asked.clear();
+        self.pending_advice.clear();
         self.hosts.values_mut().for_each(Host::drop_renewal);
     }
 
-    /// Another instance leads, with what is committed; callers whose jobs were not accepted come back.
+    /// Lets another instance lead with the committed state; callers whose jobs were not accepted submit them again.
     pub fn take_over(&mut self) {
         self.term += 1;
         let committed = self.harness.committed.clone();
@@ -321,7 +327,7 @@
         }
     }
 
-    /// Lets time pass by one step.
+    /// Advances time by one step.
     pub fn step(&mut self) {
         self.harness.now += STEP;
         let present = self.present();
@@ -350,7 +356,7 @@
         }
     }
 
-    /// Gives how many members of each gang run.
+    /// Returns how many members of each gang run.
     fn present(&self) -> BTreeMap<StepKey, u32> {
         let mut present = BTreeMap::new();
         for step in self.hosts.values().flat_map(Host::members) {
@@ -371,21 +377,21 @@
     fn answer_advice_requests(&mut self) {
         let now = self.harness.now;
         let (due, rest): (Vec<PendingAdvice>, _) =
-            std::mem::take(&mut self.asked).into_iter().partition(|a| a.due <= now);
-        self.asked = rest;
-        let ticket: model::Name = (now + TICKET).0.to_string().as_str().into();
-        for PendingAdvice { ask, .. } in due {
-            let allows = |w: &&WorkerId| self.service.allows(&ask.step, self.service.number(w));
-            let allowed = ask.workers.iter().filter(allows);
+            std::mem::take(&mut self.pending_advice).into_iter().partition(|a| a.due <= now);
+        self.pending_advice = rest;
+        let ticket: model::Name = (now + TICKET_VALIDITY).0.to_string().as_str().into();
+        for PendingAdvice { request, .. } in due {
+            let allows = |w: &&WorkerId| self.service.allows(&request.step, self.service.number(w));
+            let allowed = request.workers.iter().filter(allows);
             let allowed = Some(allowed.map(|w| (w.clone(), ticket.clone())).collect());
-            self.handle(Input::Advised { id: ask.id, valid: Some(TICKET), allowed });
+            self.handle(Input::Advised { id: request.id, valid: Some(TICKET_VALIDITY), allowed });
         }
     }
 
     fn carry_out_orders(&mut self) {
         for action in std::mem::take(&mut self.orders) {
             match &action {
-                Action::Renew { worker, .. } if self.named.contains_key(worker) => {
+                Action::Renew { worker, .. } if self.incarnations.contains_key(worker) => {
                     self.answer_with_incarnation(worker);
                 }
                 Action::Renew { worker, order, .. } => {
@@ -406,8 +412,8 @@
                     self.answer_order(&action, result);
                 }
                 Action::Stop { worker, order, .. } => {
-                    let (now, life) = (self.harness.now, self.incarnation_of(worker));
-                    let Some(host) = self.hosts.get_mut(&life) else { continue };
+                    let (now, incarnation) = (self.harness.now, self.incarnation_of(worker));
+                    let Some(host) = self.hosts.get_mut(&incarnation) else { continue };
                     let result = host.stop(now, order).map_err(CallError::Refused);
                     self.answer_order(&action, result);
                 }
@@ -434,9 +440,9 @@
         if began {
             job.first_start.get_or_insert(now);
             self.crashes.note_start(now, worker, &order.task, order.run);
-            self.note_begun(worker, &order.task, order.run);
+            self.record_run(worker, &order.task, order.run);
         }
-        match began && self.crashes.is_at_start(&order.task) {
+        match began && self.crashes.crashes_at_start(&order.task) {
             true => Err(NO_ANSWER()),
             false => Ok(()),
         }
@@ -485,14 +491,14 @@
         self.handle(Input::Renewed { worker: worker.clone(), sent_at, result });
     }
 
-    /// Takes up what the dispatcher wants done.
+    /// Collects the dispatcher's batches and actions.
     fn collect(&mut self) {
-        let due = self.harness.now + COMMIT;
+        let due = self.harness.now + COMMIT_TIME;
         let batches = self.harness.pending.drain(..);
         self.committing.extend(batches.map(|(number, commands)| (due, number, commands)));
         for action in std::mem::take(&mut self.harness.actions) {
             match action {
-                Action::RequestAdvice(ask) => self.ask(ask),
+                Action::RequestAdvice(request) => self.start_advice_call(request),
                 Action::Reply { token, answer: Answer::Accepted } => {
                     if let Some(job) = self.jobs.get_mut(&JobId(token)) {
                         job.accepted = true;
@@ -500,7 +506,7 @@
                 }
                 Action::LogEvent { kind, subject, details } => {
                     let text = format!("{:?} {} {subject} {details}", self.harness.now, kind.name);
-                    self.notes.push((subject, text));
+                    self.log_lines.push((subject, text));
                 }
                 Action::Reply { .. } => {}
                 order => self.orders.push(order),
@@ -508,18 +514,18 @@
         }
     }
 
-    /// The service takes the calls of an instance one after the other.
-    fn ask(&mut self, ask: AdviceRequest) {
-        let is_quick = self.jobs.get(&ask.step.job).is_some_and(|j| j.path.starts_with("/q/"));
-        let (base, each) = if is_quick { SHORT_CALL } else { LONG_CALL };
-        let takes = Millis((base + each * ask.workers.len() as u64) / 1_000);
-        let free_at = self.busy_until.entry(ask.caller.clone()).or_default();
+    /// Starts a call for advice; an instance makes its calls one after the other.
+    fn start_advice_call(&mut self, request: AdviceRequest) {
+        let is_quick = self.jobs.get(&request.step.job).is_some_and(|j| j.path.starts_with("/q/"));
+        let (base, each) = if is_quick { SHORT_CALL_COST } else { LONG_CALL_COST };
+        let takes = Millis((base + each * request.workers.len() as u64) / 1_000);
+        let free_at = self.busy_until.entry(request.caller.clone()).or_default();
         let due = self.harness.now.max(*free_at) + takes;
         *free_at = due;
-        self.asked.push(PendingAdvice { due, ask });
+        self.pending_advice.push(PendingAdvice { due, request });
     }
 
-    /// Lets the load go down: what lasts is cancelled, and everything else must come to its end.
+    /// Cancels the long-running jobs and asserts that all others complete.
     pub fn finish_all_jobs(&mut self, within: Millis) {
         let long_running_jobs = self.jobs.iter().filter(|(_, j)| j.kind == Kind::LongRunning);
         for (id, path) in long_running_jobs.map(|(id, j)| (*id, j.path.clone())).collect::<Vec<_>>()
@@ -527,7 +533,7 @@
             self.call(id, path, Verb::Cancel);
         }
         let until = self.harness.now + within;
-        while self.harness.now < until && !self.is_over() {
+        while self.harness.now < until && !self.all_jobs_final() {
             self.step();
         }
         for (id, job) in &self.jobs {
@@ -540,12 +546,12 @@
         }
     }
 
-    fn is_over(&self) -> bool {
+    fn all_jobs_final(&self) -> bool {
         let is_final = |id| self.harness.committed.job(id).is_some_and(|j| j.state.is_final());
         self.jobs.keys().all(|id| is_final(*id))
     }
 
-    /// Gives the waits from hand-in to the first start of the jobs of a kind, in order.
+    /// Returns the waits from submission to first start of the jobs of a kind, in ascending order.
     pub fn waits(&self, kind: Kind) -> Vec<Millis> {
         let of_kind = self.jobs.values().filter(|j| j.kind == kind);
         let mut waits: Vec<Millis> =
@@ -554,7 +560,7 @@
         waits
     }
 
-    /// Draws a number below another one.
+    /// Returns a random number below `end`.
     pub fn random_below(&mut self, end: u64) -> u64 {
         self.rng.random_range(0..end)
     }
--- a/components/dispatch/tests/common/fleet/crash.rs
+++ b/components/dispatch/tests/common/fleet/crash.rs
@@ -1,4 +1,4 @@
-//! Workers that crash: each is back after a while as another life at the same address, which runs nothing.
+//! Workers that crash. After a while another incarnation, which runs nothing, answers at the same address.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,29 +8,29 @@
 use super::Fleet;
 use crate::common::host::Host;
 
-/// When a task ends the worker that runs it.
+/// When a faulty task crashes the worker that runs it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// While it starts, so that the start gets no answer.
     AtStart,
-    /// So long after it began.
+    /// This long after it began.
     After(Millis),
 }
 
-/// The tasks that are at fault, and what came of them.
+/// The faulty tasks, and the crashes of workers.
 pub struct Crashes {
     faults: BTreeMap<TaskKey, Fault>,
-    /// The crashes to come: when, where and by which run.
+    /// The crashes to come: the time, the worker and the run that causes it.
     due: Vec<(Millis, WorkerId, TaskKey, u32)>,
-    /// The lives to come: when, and after whom.
+    /// The restarts to come: the time and the crashed worker.
     due_restarts: Vec<(Millis, WorkerId)>,
-    /// How long a worker is down.
+    /// How long a crashed worker is down.
     pub down_for: Millis,
-    /// Whether the next lives of crashed workers come at all.
+    /// Whether crashed workers restart at all.
     pub come_back: bool,
-    /// How many workers have crashed with each task on them, whoever was at fault.
+    /// How many workers have crashed with each task on them, whatever the cause.
     pub under: BTreeMap<TaskKey, u32>,
-    /// How many workers the tasks at fault of each job have taken down.
+    /// How many workers the faulty tasks of each job have crashed.
     pub by_job: BTreeMap<JobId, u32>,
 }
 
@@ -49,33 +49,33 @@
 }
 
 impl Crashes {
-    /// Gives how many workers have crashed with a task on them.
+    /// Returns how many workers have crashed with a task on them.
     pub fn under(&self, task: &TaskKey) -> u32 {
         self.under.get(task).copied().unwrap_or(0)
     }
 
-    /// Gives how many workers the tasks at fault of a job have taken down.
+    /// Returns how many workers the faulty tasks of a job have crashed.
     pub fn by_job(&self, job: JobId) -> u32 {
         self.by_job.get(&job).copied().unwrap_or(0)
     }
 
-    /// Gives the jobs that have a task at fault.
+    /// Returns the jobs that have a faulty task.
     pub fn faulty_jobs(&self) -> BTreeSet<JobId> {
         self.faults.keys().map(|task| task.step.job).collect()
     }
 
-    /// Has what is to come of a worker come of it under another id.
+    /// Moves the crashes and restarts to come of a worker to its new id.
     pub(super) fn rename(&mut self, old: &WorkerId, new: &WorkerId) {
         let due = self.due.iter_mut().map(|(_, worker, ..)| worker);
         let due_restarts = self.due_restarts.iter_mut().map(|(_, worker)| worker);
         due.chain(due_restarts).filter(|w| *w == old).for_each(|w| *w = new.clone());
     }
 
-    pub(super) fn is_at_start(&self, task: &TaskKey) -> bool {
+    pub(super) fn crashes_at_start(&self, task: &TaskKey) -> bool {
         self.faults.get(task) == Some(&Fault::AtStart)
     }
 
-    /// Notes that a run has begun.
+    /// Records that a run has begun, and plans the crash that it causes, if any.
     pub(super) fn note_start(&mut self, now: Millis, worker: &WorkerId, task: &TaskKey, run: u32) {
         let after = match self.faults.get(task) {
             None => return,
@@ -87,13 +87,13 @@
 }
 
 impl Fleet {
-    /// Makes a task end each worker that runs it.
+    /// Makes a task crash each worker that runs it.
     pub fn make_faulty(&mut self, task: TaskKey, fault: Fault) {
         self.crashes.faults.insert(task, fault);
         self.wait_checker.faulty.insert(task.step.job);
     }
 
-    /// Ends a worker's life at once with all that it runs; it comes back as another one.
+    /// Crashes a worker immediately with all that it runs; it restarts as another incarnation.
     pub fn crash(&mut self, id: &WorkerId) {
         self.note_disturbance();
         let now = self.harness.now;
@@ -132,7 +132,7 @@
             host.replaced = true;
             host.fake.silent = false;
             let mut info = host.info.clone();
-            // A worker that says births keeps its name.
+            // A worker that announces its incarnation keeps its name.
             info.id = match old.incarnation() {
                 Some(_) => WorkerId::with_incarnation(old.name(), Some(self.harness.now.0)),
                 None => WorkerId::from(format!("{old}'").as_str()),
--- a/components/dispatch/tests/common/fleet/fail.rs
+++ b/components/dispatch/tests/common/fleet/fail.rs
@@ -1,5 +1,5 @@
-//! Runs that end `Failed`: of workers that fail all they start, of jobs that fail wherever they run, and of tasks that
-//! last and fail after a while.
+//! Runs that end `Failed`: those on workers that fail all that they start, those of jobs that fail on every worker, and
+//! those of tasks whose runs each fail after a while.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,9 +9,10 @@
 use super::{Fleet, Kind, draw};
 use crate::common::host::Host;
 
-/// How soon a run fails where its worker or its job is at fault: that long at least, and how much longer at most.
-const SOONEST: u64 = 40;
-const LATER: u64 = 200;
+/// How soon a run fails on a faulty worker or in a faulty job, in milliseconds: the shortest delay, and by how much a
+/// delay may exceed it.
+const MIN_FAILURE_DELAY_MS: u64 = 40;
+const FAILURE_DELAY_SPREAD_MS: u64 = 200;
 
 /// A run that has begun.
 #[derive(Clone, Debug)]
@@ -20,35 +21,35 @@
     pub worker: WorkerId,
     pub task: TaskKey,
     pub kind: Kind,
-    /// Whether the run fails because its worker does.
+    /// Whether the run fails because its worker fails all that it starts.
     pub is_wasted: bool,
 }
 
-/// What is at fault, and what came of it.
+/// The faulty jobs and tasks, and all runs that have begun.
 #[derive(Default)]
 pub struct Failures {
-    /// The jobs that fail wherever they run.
+    /// The jobs that fail on every worker.
     pub jobs: BTreeSet<JobId>,
-    /// Tasks whose runs fail after a while, wherever they run.
+    /// The tasks whose runs fail after a while on every worker.
     after: BTreeMap<TaskKey, Millis>,
-    /// The failures to come: when, where and by which run.
+    /// The failures to come: the time, the worker and the run.
     due: Vec<(Millis, WorkerId, TaskKey, u32)>,
     /// All runs that have begun.
     pub starts: Vec<Start>,
 }
 
 impl Failures {
-    /// Gives how many runs of a kind were wasted on workers that fail what they start.
+    /// Returns how many runs of a kind were started on workers that fail all that they start.
     pub fn wasted(&self, kind: Kind) -> usize {
         self.starts.iter().filter(|s| s.is_wasted && s.kind == kind).count()
     }
 
-    /// Gives when the runs of a task began.
+    /// Returns when the runs of a task began.
     pub fn starts_of(&self, task: &TaskKey) -> Vec<Millis> {
         self.starts.iter().filter(|s| s.task == *task).map(|s| s.at).collect()
     }
 
-    /// Gives on how many workers something began in a span of time.
+    /// Returns on how many workers a run began in a span of time.
     pub fn workers_with_starts(&self, from: Millis, until: Millis) -> usize {
         let within = self.starts.iter().filter(|s| s.at >= from && s.at < until);
         within.map(|s| &s.worker).collect::<BTreeSet<_>>().len()
@@ -56,7 +57,7 @@
 }
 
 impl Fleet {
-    /// Has a worker fail all it starts from now on, or makes it well again.
+    /// Makes a worker fail all that it starts from now on, or makes it healthy again.
     pub fn set_failing(&mut self, id: &WorkerId, failing: bool) {
         if let Some(host) = self.hosts.get_mut(id) {
             host.failing = failing;
@@ -64,12 +65,12 @@
         self.note_disturbance();
     }
 
-    /// Has all runs of a job fail wherever they are.
+    /// Makes all runs of a job fail on every worker.
     pub fn fail_all_runs(&mut self, job: JobId) {
         self.failures.jobs.insert(job);
     }
 
-    /// Has each run of a task fail after a while, wherever it is.
+    /// Makes each run of a task fail after a while on every worker.
     pub fn fail_runs_after(&mut self, task: TaskKey, after: Millis) {
         self.failures.after.insert(task, after);
     }
@@ -82,11 +83,11 @@
         Some(id.clone())
     }
 
-    /// Notes that a run has begun, and when it is to fail.
-    pub(super) fn note_begun(&mut self, worker: &WorkerId, task: &TaskKey, run: u32) {
+    /// Records that a run has begun, and when it is to fail, if at all.
+    pub(super) fn record_run(&mut self, worker: &WorkerId, task: &TaskKey, run: u32) {
         let now = self.harness.now;
         let parts = [task.step.job.0, u64::from(task.index), u64::from(run), now.0];
-        let soon = Millis(SOONEST + draw(self.seed, &parts) % LATER);
+        let soon = Millis(MIN_FAILURE_DELAY_MS + draw(self.seed, &parts) % FAILURE_DELAY_SPREAD_MS);
         let is_wasted = self.hosts[worker].failing;
         let kind = self.jobs[&task.step.job].kind;
         let start = Start { at: now, worker: worker.clone(), task: *task, kind, is_wasted };
--- a/components/dispatch/tests/common/fleet/incarnations.rs
+++ b/components/dispatch/tests/common/fleet/incarnations.rs
@@ -1,5 +1,5 @@
-//! Workers that start again under the name that they had: the adapter makes a life of each, by its birth. Those that say
-//! no births may begin to.
+//! Workers that restart under the same name. The adapter tells their incarnations apart by the time at which each began.
+//! A worker that announced no such time may begin to announce it.
 
 use clock::Millis;
 use dispatch::{CallError, WorkerAnnouncement};
@@ -9,38 +9,38 @@
 use crate::common::NO_ANSWER;
 
 impl Fleet {
-    /// Has a worker that said no births say from now on when its life began.
+    /// Makes a worker that announced no incarnation announce from now on when its incarnation began.
     pub fn announce_incarnation(&mut self, id: &WorkerId) {
         let Some(mut host) = self.hosts.remove(id) else { return };
-        let life = WorkerId::with_incarnation(id.name(), Some(self.harness.now.0));
-        host.info.id = life.clone();
+        let incarnation = WorkerId::with_incarnation(id.name(), Some(self.harness.now.0));
+        host.info.id = incarnation.clone();
         host.drop_renewal();
         let number = self.service.number(id);
-        self.service.numbers.insert(life.clone(), number);
-        self.crashes.rename(id, &life);
-        self.hosts.insert(life.clone(), host);
-        self.named.insert(id.clone(), life.clone());
-        // The renewal that names no birth ends with its connection.
+        self.service.numbers.insert(incarnation.clone(), number);
+        self.crashes.rename(id, &incarnation);
+        self.hosts.insert(incarnation.clone(), host);
+        self.incarnations.insert(id.clone(), incarnation.clone());
+        // The renewal that names no incarnation ends with its connection.
         let (worker, sent_at) = (id.clone(), self.harness.now.since(STEP));
         self.handle(Input::Renewed { worker, sent_at, result: Err(NO_ANSWER()) });
-        self.announce(&life);
+        self.announce(&incarnation);
     }
 
-    /// Gives the life that a call for this id reaches.
+    /// Returns the incarnation that a call for this id reaches.
     pub(super) fn incarnation_of(&self, id: &WorkerId) -> WorkerId {
-        self.named.get(id).unwrap_or(id).clone()
+        self.incarnations.get(id).unwrap_or(id).clone()
     }
 
-    /// Answers a renewal that names no birth.
+    /// Answers a renewal that names no incarnation.
     pub(super) fn answer_with_incarnation(&mut self, id: &WorkerId) {
-        let life = self.incarnation_of(id);
-        let is_there = self.hosts.get(&life).is_some_and(|h| !h.fake.silent);
-        let result = if is_there { Err(CallError::Named(life)) } else { Err(NO_ANSWER()) };
+        let incarnation = self.incarnation_of(id);
+        let is_there = self.hosts.get(&incarnation).is_some_and(|h| !h.fake.silent);
+        let result = if is_there { Err(CallError::Named(incarnation)) } else { Err(NO_ANSWER()) };
         let (worker, sent_at) = (id.clone(), self.harness.now.since(STEP));
         self.handle(Input::Renewed { worker, sent_at, result });
     }
 
-    /// Lets an announcement of a life that is over come late.
+    /// Feeds a late announcement of an incarnation that is over.
     pub fn announce_late(&mut self, id: &WorkerId) {
         let Some(info) = self.hosts.get(id).map(|h| h.info.clone()) else { return };
         self.handle(Input::Announcement(WorkerAnnouncement {
@@ -51,7 +51,7 @@
         }));
     }
 
-    /// Gives the workers whose lives are over.
+    /// Returns the workers whose incarnations are over.
     pub fn replaced_workers(&self) -> Vec<WorkerId> {
         self.workers(|h| h.replaced)
     }
@@ -71,7 +71,7 @@
         }
     }
 
-    /// How long ago a life began that bears a birth.
+    /// Returns the age of an incarnation that says when it began.
     pub fn age(&self, id: &WorkerId) -> Millis {
         self.harness.now.since(Millis(id.incarnation().unwrap_or(0)))
     }
--- a/components/dispatch/tests/common/host.rs
+++ b/components/dispatch/tests/common/host.rs
@@ -1,4 +1,4 @@
-//! A worker whose runs take time, come on and keep their progress.
+//! A simulated worker whose runs take time, make progress and save it in checkpoints.
 
 use std::collections::BTreeMap;
 
@@ -9,51 +9,52 @@
 
 use super::worker::FakeWorker;
 
-/// A run and how far it is.
+/// A run and its progress.
 struct Progress {
     spec: StepSpec,
-    /// What the whole of its work takes.
-    takes: Millis,
-    /// How much of it an earlier run has done, in percent.
+    /// How long the whole of its work takes.
+    duration: Millis,
+    /// How much of the work an earlier run has done, in percent.
     from: u64,
-    /// Since when it comes on; the members of a gang wait for each other.
+    /// Since when it makes progress; the members of a gang wait for each other.
     since: Option<Millis>,
 }
 
 impl Progress {
     fn percent(&self, now: Millis) -> u64 {
         let ran = self.since.map_or(Millis::ZERO, |at| now.since(at));
-        (self.from + ran.0 * 100 / self.takes.0.max(1)).min(100)
+        (self.from + ran.0 * 100 / self.duration.0.max(1)).min(100)
     }
 }
 
-/// A renewal that waits at its worker.
-struct Held {
+/// A renewal that the worker has not answered yet.
+struct PendingRenewal {
     sent_at: Millis,
     answer_at: Millis,
     answer_timeout: Millis,
 }
 
+/// A simulated worker, around the [`FakeWorker`] that follows the protocol.
 pub struct Host {
     pub info: WorkerInfo,
     pub fake: FakeWorker,
-    /// Whether it has said that it leaves.
+    /// Whether it has announced that it leaves.
     pub leaving: bool,
-    /// Whether its life is over, so that its connections break at once.
+    /// Whether its incarnation is over, so that its connections break immediately.
     pub crashed: bool,
-    /// Whether another life answers at its address.
+    /// Whether another incarnation answers at its address.
     pub replaced: bool,
     /// Whether it fails all it starts.
     pub failing: bool,
     runs: BTreeMap<TaskKey, Progress>,
-    held: Option<Held>,
+    pending_renewal: Option<PendingRenewal>,
 }
 
 impl Host {
     pub fn new(info: WorkerInfo) -> Host {
         let (fake, runs) = (FakeWorker::default(), BTreeMap::new());
         let (leaving, crashed, replaced, failing) = (false, false, false, false);
-        Host { info, fake, leaving, crashed, replaced, failing, runs, held: None }
+        Host { info, fake, leaving, crashed, replaced, failing, runs, pending_renewal: None }
     }
 
     pub fn used(&self) -> Size {
@@ -64,12 +65,12 @@
         self.info.capacity.minus(&self.used())
     }
 
-    /// Tells whether it could take new work if it was told to, and come on with it.
+    /// Returns whether it could start new work and make progress with it.
     pub fn is_usable(&self) -> bool {
         !self.fake.silent && !self.leaving && !self.crashed && !self.failing
     }
 
-    /// Ends its life; gives what ran.
+    /// Ends this incarnation and returns the tasks that ran.
     pub fn crash(&mut self) -> Vec<TaskKey> {
         let lost = self.fake.running.keys().copied().collect();
         self.fake.running.clear();
@@ -80,39 +81,39 @@
         lost
     }
 
-    /// Gives the members of gangs that run here.
+    /// Returns the step of each gang member that runs here.
     pub fn members(&self) -> impl Iterator<Item = StepKey> + '_ {
         self.runs.iter().filter(|(_, p)| p.spec.gang).map(|(key, _)| key.step)
     }
 
-    /// Gives the tasks that last and run here.
+    /// Returns the long-running tasks that run here.
     pub fn long_running_tasks(&self) -> impl Iterator<Item = TaskKey> + '_ {
         self.runs.iter().filter(|(_, p)| p.spec.long_running).map(|(key, _)| *key)
     }
 
-    /// Lets runs come on and end; `present` gives how many members of each gang run anywhere.
+    /// Lets runs make progress and end; `present` holds how many members of each gang run on any worker.
     pub fn advance_runs(&mut self, now: Millis, present: &BTreeMap<StepKey, u32>) {
         self.fake.lapse(now);
         self.drop_ended();
-        let mut over = Vec::new();
+        let mut ended = Vec::new();
         for (key, p) in &mut self.runs {
-            let here = present.get(&key.step).copied().unwrap_or(0);
-            let complete = !p.spec.gang || here == p.spec.count;
+            let present_members = present.get(&key.step).copied().unwrap_or(0);
+            let complete = !p.spec.gang || present_members == p.spec.count;
             match (p.since, complete) {
                 (None, true) => p.since = Some(now),
-                (Some(_), false) => over.push((*key, EndKind::Broken)),
+                (Some(_), false) => ended.push((*key, EndKind::Broken)),
                 _ if !p.spec.long_running && p.percent(now) >= 100 => {
-                    over.push((*key, EndKind::Done));
+                    ended.push((*key, EndKind::Done));
                 }
                 _ => {}
             }
         }
-        for (key, kind) in over {
+        for (key, kind) in ended {
             self.end(now, key, kind);
         }
     }
 
-    /// Ends a run, which keeps its progress if its step says so.
+    /// Ends a run, whose progress is saved if its step has checkpoints.
     pub fn end(&mut self, now: Millis, key: TaskKey, kind: EndKind) {
         let progress = self.saved(now, &key);
         let before = self.fake.ends.len();
@@ -124,8 +125,8 @@
     }
 
     fn saved(&self, now: Millis, key: &TaskKey) -> String {
-        let kept = self.runs.get(key).filter(|p| p.spec.checkpointing);
-        kept.map(|p| p.percent(now).to_string()).unwrap_or_default()
+        let checkpointed = self.runs.get(key).filter(|p| p.spec.checkpointing);
+        checkpointed.map(|p| p.percent(now).to_string()).unwrap_or_default()
     }
 
     fn drop_ended(&mut self) {
@@ -133,15 +134,15 @@
         self.runs.retain(|key, _| running.contains_key(key));
     }
 
-    /// Carries out a start; tells whether a run began.
+    /// Carries out a start order and returns whether a run began.
     pub fn start(
         &mut self,
         now: Millis,
         order: &StartOrder,
         spec: StepSpec,
-        takes: Millis,
+        duration: Millis,
     ) -> Result<bool, Refusal> {
-        self.is_this_life()?;
+        self.check_not_replaced()?;
         let holds = |t: &str| t.parse().is_ok_and(|until| now <= Millis(until));
         if !order.ticket.as_deref().is_some_and(holds) {
             return Err(Refusal::Ticket);
@@ -151,12 +152,12 @@
         }
         let since = (!spec.gang).then_some(now);
         let from = order.checkpoint.parse().unwrap_or(0);
-        self.runs.insert(order.task, Progress { spec, takes, from, since });
+        self.runs.insert(order.task, Progress { spec, duration, from, since });
         Ok(true)
     }
 
     pub fn stop(&mut self, now: Millis, order: &StopOrder) -> Result<(), Refusal> {
-        self.is_this_life()?;
+        self.check_not_replaced()?;
         let progress = self.saved(now, &order.task);
         let before = self.fake.ends.len();
         self.fake.stop(order)?;
@@ -167,39 +168,40 @@
         Ok(())
     }
 
-    fn is_this_life(&self) -> Result<(), Refusal> {
+    fn check_not_replaced(&self) -> Result<(), Refusal> {
         if self.replaced { Err(Refusal::OtherLife) } else { Ok(()) }
     }
 
-    /// Takes a renewal, which is answered once a run has ended or its wait is over.
+    /// Receives a renewal, which is answered once a run has ended or its wait is over.
     pub fn renew(
         &mut self,
         now: Millis,
         sent_at: Millis,
         order: &RenewOrder,
     ) -> Result<(), Refusal> {
-        self.is_this_life()?;
+        self.check_not_replaced()?;
         if !self.fake.silent {
             self.fake.renew(order)?;
         }
         let (answer_at, answer_timeout) = (now + order.wait, order.answer_timeout);
-        self.held = Some(Held { sent_at, answer_at, answer_timeout });
+        self.pending_renewal = Some(PendingRenewal { sent_at, answer_at, answer_timeout });
         Ok(())
     }
 
-    /// Gives the answer to the renewal that waits, and when that was sent.
+    /// Returns the answer to the pending renewal, and when the renewal was sent.
     pub fn answer(&mut self, now: Millis) -> Option<(Millis, Result<Report, CallError>)> {
-        let held = self.held.as_ref()?;
-        let sent_at = held.sent_at;
+        let pending_renewal = self.pending_renewal.as_ref()?;
+        let sent_at = pending_renewal.sent_at;
         if self.replaced {
-            // What the life before was asked is no question to this one.
+            // The renewal was sent to the previous incarnation.
             return Some(self.answered(sent_at, Err(CallError::Refused(Refusal::OtherLife))));
         }
         if self.fake.silent {
-            let given_up = self.crashed || now >= held.answer_at + held.answer_timeout;
+            let given_up =
+                self.crashed || now >= pending_renewal.answer_at + pending_renewal.answer_timeout;
             return given_up.then(|| self.answered(sent_at, Err(super::NO_ANSWER())));
         }
-        if self.fake.ends.is_empty() && now < held.answer_at {
+        if self.fake.ends.is_empty() && now < pending_renewal.answer_at {
             return None;
         }
         let mut report = self.fake.report(now);
@@ -216,12 +218,12 @@
         sent_at: Millis,
         result: Result<Report, CallError>,
     ) -> (Millis, Result<Report, CallError>) {
-        self.held = None;
+        self.pending_renewal = None;
         (sent_at, result)
     }
 
-    /// Forgets the renewal of a leader that is gone.
+    /// Drops the pending renewal of a leader that is gone.
     pub fn drop_renewal(&mut self) {
-        self.held = None;
+        self.pending_renewal = None;
     }
 }
--- a/components/dispatch/tests/common/mod.rs
+++ b/components/dispatch/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A dispatcher with a hand-driven log, clock and workers.
+//! A test harness around the dispatcher: the test itself drives the log, the clock and the workers.
 #![allow(dead_code)]
 
 pub mod downtime_checker;
@@ -26,12 +26,13 @@
     WorkerInfo,
 };
 
-/// Reads any text as three queues at host `h`: `/q/` for quick jobs, which come first, `/mid/`, and `/bulk/`.
-/// All have advice if the text says so; `/mid/` is open to callers without a key if it says `public`; that on bulk jobs takes long, and that on `/mid/` too if the text
-/// says `long`.
-struct ThreeQueues;
+/// A policy reader that reads any text as three queues at host `h`: `/q/` for quick jobs, with the highest priority,
+/// `/mid/`, and `/bulk/`. All of them use advice if the text contains `advice`. Calls for advice on bulk jobs take long,
+/// and those on `/mid/` as well if the text contains `long`. `/mid/` is open to callers without a key if the text
+/// contains `public`.
+struct ThreeQueueReader;
 
-impl PolicyReader for ThreeQueues {
+impl PolicyReader for ThreeQueueReader {
     fn read(&self, text: &str) -> Result<Policy> {
         if text == "faulty" {
             return Err(errors::Error::Refused("faulty".into()));
@@ -77,13 +78,13 @@
     }
 }
 
-/// The driven dispatcher.
+/// A dispatcher, and everything that a test needs to drive it.
 pub struct Harness {
     pub dispatcher: Dispatcher,
     pub now: Millis,
-    /// What is committed, as another member would hold it.
+    /// The committed state, as another member would hold it.
     pub committed: ReplicatedState,
-    /// Batches that were proposed and not committed.
+    /// Batches of commands that were proposed and are not committed yet.
     pub pending: Vec<(u64, Vec<Command>)>,
     pub actions: Vec<Action>,
     pub is_leader: bool,
@@ -142,23 +143,24 @@
     RunStatus { task, run, checkpoint: Arc::from(""), percent: 0, usage: None }
 }
 
+/// Returns the error of an order that got no answer.
 pub const NO_ANSWER: fn() -> CallError = || CallError::Silent("no answer".into());
 
 impl Harness {
-    /// Begins with an empty book and a configuration of three queues.
+    /// Returns a harness with an empty replicated state and a configuration of three queues.
     pub fn new(config: &str) -> Harness {
         let mut replicated = ReplicatedState::default();
         replicated.apply(&Command::Configure(Document { version: 1, text: config.into() }));
         Harness::take_over(replicated, 1, Millis(1_000_000))
     }
 
-    /// Begins as a new leader over what is committed.
+    /// Returns a harness whose dispatcher begins a term as leader with the committed state.
     pub fn take_over(replicated: ReplicatedState, term: u64, now: Millis) -> Harness {
         let m = Moment { now, wall: now, leads_until: now + Millis(1_000) };
         let setup = Setup {
             limits: Limits::default(),
             term,
-            reader: Arc::new(ThreeQueues),
+            reader: Arc::new(ThreeQueueReader),
             replicated: replicated.clone(),
         };
         Harness {
@@ -178,7 +180,7 @@
         Moment { now: self.now, wall: self.now.since(self.wall_clock_lag), leads_until }
     }
 
-    /// Feeds one input and collects what follows, without committing anything.
+    /// Feeds one input and collects the resulting batches and actions, without committing anything.
     pub fn feed(&mut self, input: Input) {
         let m = self.moment();
         self.dispatcher.handle(m, input);
@@ -191,7 +193,7 @@
         self.actions.extend(actions);
     }
 
-    /// Commits everything that was proposed, until nothing more follows.
+    /// Commits everything that was proposed, until nothing more is proposed.
     pub fn commit(&mut self) {
         while !self.pending.is_empty() {
             let (number, commands) = self.pending.remove(0);
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Lets time pass with a tick.
+    /// Moves the clock on, feeds a tick and commits what it proposes.
     pub fn advance(&mut self, span: Millis) {
         self.now += span;
         self.feed(Input::Tick);
@@ -218,12 +220,12 @@
         self.call(Call::Job { host: "h".into(), path: path.into(), size: 100, verb })
     }
 
-    /// Calls on behalf of whoever holds a key.
+    /// Calls on behalf of the holder of a credential.
     pub fn call_with(&mut self, credential: Credential, path: &str, verb: Verb) -> u64 {
         self.call(Call::from_caller(("h".into(), path.into()), 100, verb, credential))
     }
 
-    /// Hands in a job on behalf of whoever holds a key.
+    /// Submits a job on behalf of the holder of a key.
     pub fn submit_with_key(&mut self, key: &str, path: &str, spec: Arc<JobSpec>) -> u64 {
         self.call_with(organisations::with_key(key), path, Verb::Submit(spec))
     }
@@ -245,42 +247,42 @@
         self.call_path(&format!("/bulk/{}", JobId(id)), Verb::Submit(spec))
     }
 
-    /// Says which instances can call for advice.
+    /// Sets the instances that can call for advice.
     pub fn set_advice_callers(&mut self, names: &[&str]) {
         self.feed(Input::AdviceCallers(names.iter().map(|n| InstanceId::from(*n)).collect()));
     }
 
-    /// Gives the calls for advice that have left, or only those on one job.
+    /// Returns the requests for advice that were sent, or only those on one job.
     pub fn advice_requests(&self, of: Option<u64>) -> Vec<AdviceRequest> {
-        let ask = |a: &Action| match a {
-            Action::RequestAdvice(ask) => Some(ask.clone()),
+        let request = |a: &Action| match a {
+            Action::RequestAdvice(request) => Some(request.clone()),
             _ => None,
         };
         let about = |a: &AdviceRequest| of.is_none_or(|n| a.step.job == JobId(n));
-        self.actions.iter().filter_map(ask).filter(about).collect()
+        self.actions.iter().filter_map(request).filter(about).collect()
     }
 
-    /// Answers a call for advice: these workers are allowed.
-    pub fn answer_advice(&mut self, ask: &AdviceRequest, allowed: &[&str]) {
+    /// Answers a request for advice: these workers are allowed.
+    pub fn answer_advice(&mut self, request: &AdviceRequest, allowed: &[&str]) {
         let allowed = allowed.iter().map(|w| (worker(w), "ticket".into())).collect();
         let valid = Some(Millis(2_000));
-        self.feed(Input::Advised { id: ask.id, valid, allowed: Some(allowed) });
+        self.feed(Input::Advised { id: request.id, valid, allowed: Some(allowed) });
         self.commit();
     }
 
-    /// Lets a worker join and answer its first renewal.
+    /// Lets a worker of zone `z` join and answer its first renewal.
     pub fn join(&mut self, name: &str, cores: u64) {
         self.join_in("z", name, cores);
     }
 
-    /// The same in an availability zone.
+    /// Lets a worker of an availability zone join and answer its first renewal.
     pub fn join_in(&mut self, zone: &str, name: &str, cores: u64) {
         let mut announcement = announcement(name, cores);
         announcement.info.zone = zone.into();
         self.join_as(announcement);
     }
 
-    /// Lets a worker join as it announces itself.
+    /// Lets a worker join by an announcement and answer its first renewal.
     pub fn join_as(&mut self, announcement: WorkerAnnouncement) {
         let id = announcement.info.id.clone();
         self.feed(Input::Announcement(announcement));
@@ -289,7 +291,7 @@
         self.report(&id.0, vec![], vec![]);
     }
 
-    /// Lets a worker answer a renewal sent now.
+    /// Answers a renewal, sent now, with a report of the worker's runs and their ends.
     pub fn report(&mut self, name: &str, running: Vec<RunStatus>, ends: Vec<End>) {
         let report = Report { clock: self.now, running, ends };
         let sent_at = self.now;
@@ -301,8 +303,8 @@
         self.feed(Input::Renewed { worker: worker(name), sent_at, result: Err(error) });
     }
 
-    /// Lets time pass while one worker answers no renewal and another one answers all.
-    pub fn advance_with_silent(&mut self, silent: &str, well: &str, span: Millis) {
+    /// Moves the clock on while one worker answers no renewal and another one answers all.
+    pub fn advance_with_silent(&mut self, silent: &str, healthy: &str, span: Millis) {
         let until = self.now + span;
         let mut failed = 0;
         while self.now < until {
@@ -311,7 +313,7 @@
                 self.renewal_fails(silent, NO_ANSWER());
             }
             self.advance(Millis(100));
-            self.report(well, vec![], vec![]);
+            self.report(healthy, vec![], vec![]);
         }
     }
 
@@ -325,7 +327,7 @@
         self.feed(Input::Stopped { worker: worker(name), task, run, result });
     }
 
-    /// Takes the answer to a call, if it has left.
+    /// Returns the answer to a call, if it was sent.
     pub fn answer(&self, token: u64) -> Option<&Answer> {
         self.actions.iter().find_map(|a| match a {
             Action::Reply { token: t, answer } if *t == token => Some(answer),
@@ -333,7 +335,7 @@
         })
     }
 
-    /// Gives the starts that have left, with their workers.
+    /// Returns the start orders that were sent, with their workers.
     pub fn starts(&self) -> Vec<(WorkerId, StartOrder)> {
         let start = |a: &Action| match a {
             Action::Start { worker, order, .. } => Some((worker.clone(), order.clone())),
@@ -342,7 +344,7 @@
         self.actions.iter().filter_map(start).collect()
     }
 
-    /// Gives the stops that have left: worker, task, run.
+    /// Returns the stop orders that were sent: worker, task, run.
     pub fn stops(&self) -> Vec<(WorkerId, TaskKey, u32)> {
         let stop = |a: &Action| match a {
             Action::Stop { worker, order, .. } => Some((worker.clone(), order.task, order.run)),
@@ -351,7 +353,7 @@
         self.actions.iter().filter_map(stop).collect()
     }
 
-    /// Gives the deadlines of the renewals that have left for a worker, and what they acknowledge.
+    /// Returns the deadlines of the renewals that were sent to a worker, and the last end that each acknowledges.
     pub fn renewals(&self, name: &str) -> Vec<(Option<Millis>, u64)> {
         let renewal = |a: &Action| match a {
             Action::Renew { worker, order, .. } if *worker.0 == *name => {
--- a/components/dispatch/tests/common/organisations.rs
+++ b/components/dispatch/tests/common/organisations.rs
@@ -6,24 +6,24 @@
 /// The organisations that random schedules have.
 pub const ORGANISATIONS: [&str; 3] = ["a", "b", "c"];
 
-/// Gives the key of an organisation in a random schedule.
+/// Returns the key of an organisation in a random schedule.
 pub fn key_of(name: &str) -> String {
     format!("key-{name}")
 }
 
-/// Gives a configuration's text with organisations of one key and of equal weight, by name and limit.
+/// Returns the text of a configuration with organisations of one key each and of equal weight, by name and limit.
 pub fn configuration<'a>(limits: impl IntoIterator<Item = (&'a str, u64)>) -> String {
     let organisation =
         |(name, limit): (&str, u64)| format!("org={name}:{limit}:1:{}", key_of(name));
     limits.into_iter().map(organisation).collect::<Vec<_>>().join(" ")
 }
 
-/// Gives what a call shows that bears a key.
+/// Returns the credential of a call that bears a key.
 pub fn with_key(key: &str) -> Credential {
     Credential::Key(KeyDigest::of(key))
 }
 
-/// Reads the organisations of a text; `None` if it speaks of none.
+/// Reads the organisations of a text and returns `None` if it lists none.
 pub fn read_organisations(text: &str) -> Option<Organisations> {
     let mut all = Organisations::default();
     let words = text.split_whitespace().filter_map(|word| word.strip_prefix("org="));
--- a/components/dispatch/tests/common/random_simulation.rs
+++ b/components/dispatch/tests/common/random_simulation.rs
@@ -1,5 +1,5 @@
-//! A dispatcher over fake workers whose every order has its own luck: answers lost, orders late, workers silent and
-//! restarted, leaders replaced. What must hold is checked as each task begins.
+//! A random simulation of a dispatcher and its workers: answers are lost, orders are carried out late, workers fall
+//! silent and restart, and leaders are replaced. The invariants are checked each time a task begins.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,29 +18,30 @@
 
 const CORES: u64 = 4;
 
+/// A dispatcher with three workers, and the random number generator that decides what happens to them.
 pub struct RandomSimulation {
     pub harness: Harness,
     rng: StdRng,
     pub workers: BTreeMap<String, FakeWorker>,
-    /// Orders that are carried out later, after no answer.
-    late: Vec<Action>,
+    /// Orders that got no answer and are carried out later.
+    delayed: Vec<Action>,
     term: u64,
     jobs: u64,
-    /// What the organisations may have running by the configurations sent that may be in force, if there are any.
+    /// The limits of the organisations, if there are organisations.
     limits: Option<Limits>,
 }
 
-/// The limits of organisations, of processor time in thousandths of a core.
+/// The limits of organisations on processor time, in thousandths of a core.
 #[derive(Default)]
 struct Limits {
-    /// Those of each version sent, from the one that was committed as the last one was sent.
+    /// The limits in each published version of the configuration.
     sent: BTreeMap<u64, BTreeMap<Name, u64>>,
-    /// The highest of its organisation that might be in force as a run was first ordered.
+    /// The highest limit of its organisation that might be in force when a run was first ordered.
     at_order: BTreeMap<(TaskKey, u32), u64>,
 }
 
 impl Limits {
-    /// Gives the highest limit of an organisation that may be in force.
+    /// Returns the highest limit of an organisation that may be in force; the committed version is the oldest that may be.
     fn highest(&self, committed: u64, organisation: &str) -> u64 {
         let may_be = self.sent.iter().filter(|(version, _)| **version >= committed);
         let limit = |limits: &BTreeMap<Name, u64>| limits.get(organisation).copied().unwrap_or(0);
@@ -51,31 +52,31 @@
 
 impl RandomSimulation {
     pub fn new(seed: u64) -> RandomSimulation {
-        let mut world = RandomSimulation {
+        let mut simulation = RandomSimulation {
             harness: Harness::new(""),
             rng: StdRng::seed_from_u64(seed),
             workers: BTreeMap::new(),
-            late: Vec::new(),
+            delayed: Vec::new(),
             term: 1,
             jobs: 0,
             limits: None,
         };
         for i in 0..3 {
-            world.announce(&format!("w{i}-0"));
+            simulation.announce(&format!("w{i}-0"));
         }
-        world
+        simulation
     }
 
-    /// Makes a world in which every job belongs to an organisation, and limits change.
+    /// Returns a simulation in which every job belongs to an organisation and limits change.
     pub fn with_organisations(seed: u64) -> RandomSimulation {
-        let mut world = RandomSimulation::new(seed);
-        world.limits = Some(Limits::default());
-        world.change_limits();
-        world.harness.commit();
-        world
+        let mut simulation = RandomSimulation::new(seed);
+        simulation.limits = Some(Limits::default());
+        simulation.change_limits();
+        simulation.harness.commit();
+        simulation
     }
 
-    /// Publishes a configuration with other limits; zero is none.
+    /// Publishes a configuration with other limits; zero means no limit.
     fn change_limits(&mut self) {
         let mut draw = || *[0, 2_000, 3_000, 6_000].choose(&mut self.rng).unwrap_or(&0);
         let drawn = ORGANISATIONS.iter().map(|name| (Name::from(*name), draw())).collect();
@@ -96,7 +97,7 @@
         self.harness.call(Call::Publish(Document { version, text: text.as_str().into() }));
     }
 
-    /// Hands in a job at a queue, on behalf of an organisation if there are any.
+    /// Submits a job to a queue, on behalf of an organisation if there are any.
     fn submit_job(&mut self, queue: &str, job: Arc<JobSpec>) {
         let path = format!("/{queue}/{:016x}", self.jobs);
         match self.limits {
@@ -108,7 +109,7 @@
         };
     }
 
-    /// Cancels a job on behalf of whoever handed it in.
+    /// Cancels a job on behalf of the organisation that submitted it.
     pub fn cancel(&mut self, id: JobId) {
         let path = format!("/q/{id}");
         let owner = self.harness.dispatcher.replicated().ownership().owner(id).cloned();
@@ -123,7 +124,7 @@
         self.harness.feed(Input::Announcement(super::announcement(name, CORES)));
     }
 
-    /// Carries out what the dispatcher wants done, each order with its own luck.
+    /// Carries out the dispatcher's orders, each with a random outcome.
     pub fn perform(&mut self) {
         for action in std::mem::take(&mut self.harness.actions) {
             match action {
@@ -137,15 +138,15 @@
     }
 
     fn order(&mut self, action: Action) {
-        let luck = self.rng.random_range(0..20);
+        let outcome = self.rng.random_range(0..20);
         let silent = self.worker_of(&action).is_some_and(|w| w.silent);
-        if silent || luck == 0 {
+        if silent || outcome == 0 {
             self.answer(&action, Err(NO_ANSWER()));
-        } else if luck == 1 {
-            self.late.push(action.clone());
+        } else if outcome == 1 {
+            self.delayed.push(action.clone());
             self.answer(&action, Err(NO_ANSWER()));
-        } else if luck == 2 {
-            // It is carried out, and the answer is lost.
+        } else if outcome == 2 {
+            // The order is carried out, and the answer is lost.
             let _ = self.carry_out(&action);
             self.answer(&action, Err(NO_ANSWER()));
         } else {
@@ -175,7 +176,7 @@
             Action::Start { order, .. } => match worker.start(now, order) {
                 Ok(true) => began = Some(order.task),
                 Ok(false) => {}
-                Err(why) => return Err(CallError::Refused(why)),
+                Err(refusal) => return Err(CallError::Refused(refusal)),
             },
             Action::Stop { order, .. } => worker.stop(order).map_err(CallError::Refused)?,
             Action::Renew { order, .. } => worker.renew(order).map_err(CallError::Refused)?,
@@ -188,7 +189,7 @@
         Ok(report)
     }
 
-    /// Notes which limit held as a run was first ordered.
+    /// Records which limit held when a run was first ordered.
     fn note_limit(&mut self, action: &Action) {
         let (Some(limits), Action::Start { order, .. }) = (&mut self.limits, action) else {
             return;
@@ -199,26 +200,26 @@
         limits.at_order.entry((order.task, order.run)).or_insert(highest);
     }
 
-    /// Checks, by what the workers run, that no organisation has more running than it might as the last of its runs
-    /// was ordered.
+    /// Asserts that no organisation has more running on the workers than the highest limit that might be in force when
+    /// one of its runs was ordered.
     fn check_limits(&self) {
         let Some(limits) = &self.limits else { return };
-        let mut of: BTreeMap<&Name, (Size, u64)> = BTreeMap::new();
+        let mut by_organisation: BTreeMap<&Name, (Size, u64)> = BTreeMap::new();
         let (now, replicated) = (self.harness.now, &self.harness.committed);
         let alive = self.workers.values().filter(|w| now < w.lease);
         for (task, run) in alive.flat_map(|w| &w.running) {
             let Some(owner) = replicated.ownership().owner(task.step.job) else { continue };
             let size = replicated.step_spec(&task.step).map_or(Size::ZERO, |s| s.size);
             let limit = limits.at_order.get(&(*task, *run)).copied().unwrap_or(0);
-            let entry = of.entry(owner).or_default();
+            let entry = by_organisation.entry(owner).or_default();
             *entry = (entry.0.plus(&size), entry.1.max(limit));
         }
-        for (name, (used, limit)) in of {
+        for (name, (used, limit)) in by_organisation {
             assert!(used.cpu_milli <= limit, "{name} has {used} running, its limit was {limit}");
         }
     }
 
-    /// What must hold when a task begins.
+    /// Asserts what must hold when a task begins: it runs once, its worker is not overcommitted, and it is not done.
     fn check_start(&self, key: TaskKey) {
         let now = self.harness.now;
         let alive = |w: &&FakeWorker| w.running.contains_key(&key) && now < w.lease;
@@ -226,11 +227,11 @@
         for (name, worker) in &self.workers {
             let size = |key: &TaskKey| self.harness.committed.step_spec(&key.step).map(|s| s.size);
             let taken = worker.running.keys().filter_map(size).fold(0, |n, s| n + s.cpu_milli);
-            assert!(taken <= CORES * 1_000, "{name} is over its room");
+            assert!(taken <= CORES * 1_000, "{name} is overcommitted");
         }
         self.check_limits();
-        let noted = self.harness.committed.task(&key).is_some_and(|t| t.done);
-        assert!(!noted, "{key} starts after its end was noted");
+        let done = self.harness.committed.task(&key).is_some_and(|t| t.done);
+        assert!(!done, "{key} starts after its end was committed");
     }
 
     fn answer(&mut self, action: &Action, result: Result<Report, CallError>) {
@@ -257,10 +258,14 @@
             0..=4 => {
                 self.jobs += 1;
                 let second = StepSpec { depends_on: vec![0], ..step(2) };
-                let lasts = self.rng.random_bool(0.1);
+                let is_long_running = self.rng.random_bool(0.1);
                 let gang = self.rng.random_bool(0.2);
-                let first = StepSpec { long_running: lasts, gang: gang && !lasts, ..step(3) };
-                let steps = if lasts { vec![first] } else { vec![first, second] };
+                let first = StepSpec {
+                    long_running: is_long_running,
+                    gang: gang && !is_long_running,
+                    ..step(3)
+                };
+                let steps = if is_long_running { vec![first] } else { vec![first, second] };
                 self.submit(steps);
             }
             5..=9 => self.finish_some(),
@@ -287,19 +292,19 @@
         self.harness.feed(Input::Tick);
     }
 
-    /// Hands in a quick job, a batch job that may be stopped for others, or one that others are stopped for.
+    /// Submits a quick job, a batch job that may be preempted, or one that preempts others.
     fn submit(&mut self, steps: Vec<StepSpec>) {
-        let keeps = StepSpec { checkpointing: true, estimate: Millis(30_000), ..step(3) };
+        let checkpointed = StepSpec { checkpointing: true, estimate: Millis(30_000), ..step(3) };
         let size = model::Size::new(3_000, 1_000, 0);
         let large = StepSpec { size, estimate: Millis(2_000), ..step(2) };
         match self.rng.random_range(0..4) {
-            0 => self.submit_job("bulk", spec(vec![keeps])),
+            0 => self.submit_job("bulk", spec(vec![checkpointed])),
             1 => self.submit_job("mid", spec(vec![large])),
             _ => self.submit_job("q", spec(steps)),
         }
     }
 
-    /// The members of a gang work only while all of them are there, so none is done before.
+    /// Returns whether a task can be done: a gang's members work only while all of them run.
     fn can_work(&self, key: TaskKey) -> bool {
         let Some(spec) = self.harness.committed.step_spec(&key.step) else { return true };
         let runs = |w: &&FakeWorker| w.running.keys().filter(|k| k.step == key.step).count();
@@ -345,20 +350,20 @@
         }
     }
 
-    /// A worker dies with all that it runs, and another life takes its place.
+    /// Ends a worker with all that it runs, and lets another incarnation take its place.
     fn restart_worker(&mut self) {
         let names: Vec<String> = self.workers.keys().cloned().collect();
         let name = names.choose(&mut self.rng).cloned().unwrap_or_default();
         let Some(old) = self.workers.remove(&name) else { return };
         let base = name.split('-').next().unwrap_or_default();
-        let next = format!("{base}-{}", old.life + 1);
+        let next = format!("{base}-{}", old.incarnation + 1);
         self.announce(&next);
         if let Some(worker) = self.workers.get_mut(&next) {
-            worker.life = old.life + 1;
+            worker.incarnation = old.incarnation + 1;
         }
     }
 
-    /// Another instance leads, with what is committed; what was not is lost.
+    /// Lets another instance lead with the committed state; everything that was not committed is lost.
     fn replace_leader(&mut self) {
         self.term += 1;
         let committed = self.harness.committed.clone();
@@ -369,8 +374,8 @@
     }
 
     fn carry_out_late(&mut self) {
-        if let Some(action) = self.late.pop() {
-            // Nobody awaits the answer any more.
+        if let Some(action) = self.delayed.pop() {
+            // The dispatcher no longer waits for the answer.
             let _ = self.carry_out(&action);
         }
     }
--- a/components/dispatch/tests/common/wait_checker.rs
+++ b/components/dispatch/tests/common/wait_checker.rs
@@ -1,4 +1,4 @@
-//! The general check: nothing accepted stands without a run for long while its workers have room.
+//! Checks that no task of an accepted job waits for long while the workers that it may use have capacity for it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,29 +6,29 @@
 use model::{Dimension, Size};
 use workload::{JobId, OpenStep, ReplicatedState, StepSpec, TaskKey, WorkerId};
 
-use super::fleet::Service;
+use super::fleet::AdviceService;
 use super::host::Host;
 
-/// For how long a task may wait for a worker while there is room for it.
+/// How long a task may wait for a worker while there is capacity for it.
 const MAX_WAIT: Millis = Millis(3_000);
-/// How many times the room that the waiting tasks of a step take counts as room enough: what is free in
-/// this moment may be promised to others.
-const ROOM_FACTOR: u64 = 2;
+/// How many times the waiting tasks of a step must fit for its capacity to count: what is free at this moment may
+/// already be reserved for others.
+const CAPACITY_FACTOR: u64 = 2;
 
-/// A worker that could take new work now.
+/// A worker that could start new work now.
 struct Usable<'a> {
     host: &'a Host,
     number: u64,
     free: Size,
 }
 
-/// What the workers that may run a step have.
+/// The capacity of the workers that may run a step.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StepCapacity {
     workers: usize,
     capacity: Size,
     used: Size,
-    /// How many tasks of the step find room.
+    /// How many more tasks of the step fit.
     fits: u64,
 }
 
@@ -44,37 +44,37 @@
 pub struct StarvedTask {
     pub task: TaskKey,
     pub since: Millis,
-    /// What the workers have that may run it.
-    pub room: StepCapacity,
+    /// The capacity of the workers that may run it.
+    pub step_capacity: StepCapacity,
 }
 
-/// Since when tasks have waited while there was room for them.
+/// A check of how long tasks wait while there is capacity for them.
 #[derive(Default)]
 pub struct WaitChecker {
     since: BTreeMap<TaskKey, Millis>,
-    /// Jobs with a task that ends its workers: they can never be done, so they may wait until that is understood.
+    /// Jobs with a task that crashes its workers: they can never be done, so they may wait until they are given up.
     pub faulty: BTreeSet<JobId>,
-    /// Whether the longest wait is noted and judged by whoever asks for it, rather than at once.
+    /// Whether the longest wait is only recorded, for the test to check afterwards.
     pub record_only: bool,
     /// The longest such wait seen.
     pub longest: Millis,
 }
 
 impl WaitChecker {
-    /// Looks at all steps that wait; gives a task that has waited too long.
+    /// Examines all steps that wait and returns a task that has waited too long.
     pub fn examine(
         &mut self,
         now: Millis,
         replicated: &ReplicatedState,
         hosts: &BTreeMap<WorkerId, Host>,
-        service: &Service,
+        service: &AdviceService,
     ) -> Option<StarvedTask> {
         let usable = hosts.iter().filter(|(_, h)| h.is_usable());
         let usable: Vec<Usable<'_>> = usable
             .map(|(id, host)| Usable { host, number: service.number(id), free: host.free() })
             .collect();
         let mut since = BTreeMap::new();
-        let mut standing = None;
+        let mut starved = None;
         for entry in replicated.open().iter().filter(|e| !self.faulty.contains(&e.key.job)) {
             let (Some(spec), Some(step)) =
                 (replicated.step_spec(&entry.key), replicated.step(&entry.key))
@@ -82,8 +82,10 @@
                 continue;
             };
             let waiting: Vec<u32> = step.waiting().collect();
-            let room = room(entry, spec, &usable, service);
-            if room.fits < ROOM_FACTOR * waiting.len() as u64 || !room.is_half_empty() {
+            let step_capacity = step_capacity(entry, spec, &usable, service);
+            if step_capacity.fits < CAPACITY_FACTOR * waiting.len() as u64
+                || !step_capacity.is_half_empty()
+            {
                 continue;
             }
             for index in waiting {
@@ -92,50 +94,50 @@
                 since.insert(task, at);
                 self.longest = self.longest.max(now.since(at));
                 if now.since(at) >= MAX_WAIT && !self.record_only {
-                    standing.get_or_insert(StarvedTask { task, since: at, room });
+                    starved.get_or_insert(StarvedTask { task, since: at, step_capacity });
                 }
             }
         }
         self.since = since;
-        standing
+        starved
     }
 
-    /// Begins anew, since nobody could start anything.
+    /// Forgets all waits, because without a leader nothing can start.
     pub fn reset(&mut self) {
         self.since.clear();
     }
 }
 
-fn room(
+fn step_capacity(
     entry: &OpenStep,
     spec: &StepSpec,
     usable: &[Usable<'_>],
-    service: &Service,
+    service: &AdviceService,
 ) -> StepCapacity {
     let per = |free: u64, need: u64| free.checked_div(need).unwrap_or(u64::MAX);
-    let mut room = StepCapacity::default();
+    let mut step_capacity = StepCapacity::default();
     for Usable { host, number, free } in usable {
         let labelled = spec.constraint.as_ref().is_none_or(|l| host.info.labels.contains(l));
-        let most = remaining_per_worker(entry, spec, host);
-        if !labelled || most == 0 || !service.allows(&entry.key, *number) {
+        let max_more = remaining_per_worker(entry, spec, host);
+        if !labelled || max_more == 0 || !service.allows(&entry.key, *number) {
             continue;
         }
-        room.workers += 1;
-        room.capacity = room.capacity.plus(&host.info.capacity);
-        room.used = room.used.plus(&host.info.capacity.minus(free));
-        room.fits += per(free.cpu_milli, spec.size.cpu_milli)
+        step_capacity.workers += 1;
+        step_capacity.capacity = step_capacity.capacity.plus(&host.info.capacity);
+        step_capacity.used = step_capacity.used.plus(&host.info.capacity.minus(free));
+        step_capacity.fits += per(free.cpu_milli, spec.size.cpu_milli)
             .min(per(free.memory_mb, spec.size.memory_mb))
             .min(per(free.accelerators, spec.size.accelerators))
-            .min(most);
+            .min(max_more);
     }
-    room
+    step_capacity
 }
 
-/// Gives how many more tasks of a step a worker may run, whatever room it has.
+/// Returns how many more tasks of a step a worker may run, whatever its free capacity.
 fn remaining_per_worker(entry: &OpenStep, spec: &StepSpec, host: &Host) -> u64 {
     let here = || host.fake.running.keys().filter(|k| k.step == entry.key).count() as u64;
     match spec.max_per_worker {
         0 => u64::MAX,
-        most => u64::from(most).saturating_sub(here()),
+        max_more => u64::from(max_more).saturating_sub(here()),
     }
 }
--- a/components/dispatch/tests/common/worker.rs
+++ b/components/dispatch/tests/common/worker.rs
@@ -1,4 +1,4 @@
-//! A worker as the platform's pages describe it, on the test's clock.
+//! A fake worker that follows the platform's protocol on the test's clock.
 
 use std::collections::BTreeMap;
 
@@ -8,9 +8,10 @@
 
 use super::{end, row};
 
+/// A worker's state: its lease, its runs, and the ends that no renewal has acknowledged yet.
 #[derive(Default)]
 pub struct FakeWorker {
-    pub life: u32,
+    pub incarnation: u32,
     pub fence: u64,
     pub lease: Millis,
     pub running: BTreeMap<TaskKey, u32>,
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Carries out a start; tells whether a run began.
+    /// Carries out a start order and returns whether a run began.
     pub fn start(&mut self, now: Millis, order: &StartOrder) -> Result<bool, Refusal> {
         if order.fence < self.fence {
             return Err(Refusal::Fence);
--- a/components/dispatch/tests/crash_schedules.rs
+++ b/components/dispatch/tests/crash_schedules.rs
@@ -1,6 +1,6 @@
-//! Random schedules of tasks that end their workers, among workers that crash, leave or are cut off for other
-//! reasons, and leaders that are lost. `HEATHVALE_CRASH_SEEDS=1-200 cargo test -p dispatch --test crash_schedules`
-//! plays more of them.
+//! Random schedules of tasks that crash their workers, among workers that crash, leave or are cut off for other reasons,
+//! and leaders that are lost. `HEATHVALE_CRASH_SEEDS=1-200 cargo test -p dispatch --test crash_schedules` runs more of
+//! them.
 
 mod common;
 
@@ -14,17 +14,17 @@
 use rand::seq::IndexedRandom;
 use workload::{JobId, JobState, MAX_CRASHES, MAX_SHARED_CRASHES, StepSpec, WorkerId};
 
-/// The seeds that are played by default.
+/// The seeds that run by default.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=8;
-/// A seed that once failed: the check took a gang, three runs of which lost a worker each, for a task that had met one
-/// crash. A gang is given up as one.
+/// Seeds that failed before. In seed 39 a gang lost three workers, one under each of three members, and the check counted
+/// one crash for each task. A gang is given up as a whole, so its crashes are added up.
 const REGRESSIONS: [u64; 1] = [39];
-/// How many starts may follow the crash that gives a job up, where it is known late.
+/// How many starts may follow the crash for which a job is given up, if the leader learns of the crash late.
 const LATE_STARTS: u32 = 1;
-/// What happens in one schedule, one thing after the other.
+/// The number of events in one schedule, which happen one after the other.
 const EVENTS: usize = 30;
 
-fn hand_in_faulty(f: &mut Fleet) {
+fn submit_faulty(f: &mut Fleet) {
     let faults = [
         Fault::AtStart,
         Fault::After(Millis(10)),
@@ -44,26 +44,26 @@
     f.make_faulty(task(job.0, 0, index), fault);
 }
 
-fn some(f: &mut Fleet, one_in: u64) -> Vec<WorkerId> {
+fn every_nth_usable(f: &mut Fleet, one_in: u64) -> Vec<WorkerId> {
     let first = f.random_below(one_in) as usize;
     f.workers(Host::is_usable).into_iter().skip(first).step_by(one_in as usize).collect()
 }
 
 fn disturb(f: &mut Fleet, mix: &mut JobMix, silent: &mut Vec<WorkerId>) {
     match f.random_below(10) {
-        0..=3 => hand_in_faulty(f),
+        0..=3 => submit_faulty(f),
         4 => {
-            let lost = some(f, 9);
+            let lost = every_nth_usable(f, 9);
             lost.iter().for_each(|id| f.crash(id));
         }
         5 => {
-            let cut = some(f, 7);
+            let cut = every_nth_usable(f, 7);
             cut.iter().for_each(|id| f.set_silent(id, true));
             silent.extend(cut);
         }
         6 => silent.drain(..).for_each(|id| f.set_silent(&id, false)),
         7 => {
-            let leaving = some(f, 24);
+            let leaving = every_nth_usable(f, 24);
             leaving.iter().for_each(|id| f.announce_leaving(id));
         }
         8 => {
@@ -78,16 +78,16 @@
 }
 
 fn drive(seed: u64) {
-    play_among(seed, 0);
+    drive_with_long_running(seed, 0);
 }
 
-/// Plays a schedule among some jobs of tasks that last and are well.
-fn play_among(seed: u64, lasting: usize) {
+/// Runs a schedule among a number of healthy long-running jobs.
+fn drive_with_long_running(seed: u64, long_running_jobs: usize) {
     let mut f = Fleet::new(seed, 12);
     f.crashes.down_for = Millis(1_000 + f.random_below(6_000));
     f.join("w", 40, Size::new(8_000, 16_000, 0));
     f.advance(Millis(500));
-    (0..lasting).for_each(|_| mix::long_running_job(&mut f, None));
+    (0..long_running_jobs).for_each(|_| mix::long_running_job(&mut f, None));
     let (mut mix, mut silent) = (JobMix::everyday(0.35), Vec::new());
     mix.drive(&mut f, Millis(2_000));
     for _ in 0..EVENTS {
@@ -107,7 +107,7 @@
     }
     for id in f.jobs.keys() {
         let state = f.harness.committed.job(*id).map(|j| j.state);
-        let crashes = most_under(f, *id);
+        let crashes = max_crashes_under(f, *id);
         match faulty.contains(id) {
             true => assert_eq!(state, Some(JobState::Failed), "seed {seed}: {id}, {crashes}"),
             false if state == Some(JobState::Failed) => {
@@ -122,8 +122,8 @@
     }
 }
 
-/// Gives how many workers have crashed under that task of a job which met the most, or under its gang.
-fn most_under(f: &Fleet, job: JobId) -> u32 {
+/// Returns how many workers have crashed under the task of a job that met the most crashes, or under all tasks of a gang.
+fn max_crashes_under(f: &Fleet, job: JobId) -> u32 {
     let of_job = f.crashes.under.iter().filter(|(task, _)| task.step.job == job);
     let crashes = of_job.map(|(_, crashes)| *crashes);
     match f.jobs[&job].kind {
@@ -134,22 +134,23 @@
 
 #[test]
 fn crashes_stay_bounded_on_random_schedules() {
-    let asked = std::env::var("HEATHVALE_CRASH_SEEDS").unwrap_or_default();
-    let range = asked.split_once('-').and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
+    let requested = std::env::var("HEATHVALE_CRASH_SEEDS").unwrap_or_default();
+    let range =
+        requested.split_once('-').and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
     match range {
         Some((from, to)) => (from..=to).filter(|seed| *seed != 89).for_each(drive),
         None => SEEDS.chain(REGRESSIONS).for_each(drive),
     }
 }
 
-/// The fleet checks at each step that tasks that last are at work again, and here some are well.
+/// The fleet checks at each step that long-running tasks soon run again, and here some of them are healthy.
 #[test]
 fn tasks_that_last_are_at_work_again_among_crashes() {
-    (1..=4).for_each(|seed| play_among(seed, 12));
+    (1..=4).for_each(|seed| drive_with_long_running(seed, 12));
 }
 
-/// A gang of four waited for 20 s, which looked like tickets that run out. Most of the room that was counted was on
-/// workers that the leader had forgotten while they were cut off, and that never announced themselves again.
+/// A gang of four waited for 20 s, which looked as if its tickets expired. Most of the capacity that the check counted was
+/// on workers that the leader had forgotten while they were cut off, and that never announced themselves again.
 #[test]
 fn a_gang_does_not_wait_beside_room_for_tickets_that_run_out() {
     drive(89);
--- a/components/dispatch/tests/crashes.rs
+++ b/components/dispatch/tests/crashes.rs
@@ -1,17 +1,15 @@
-//! A task that ends each worker it runs on must not be started again without end.
+//! A task that crashes each worker it runs on must be given up after a few crashes.
 //!
-//! One task of ten ended its worker 10 ms after it began there. The worker was back 3.2 s later as another life
-//! at the same address, and the task was started elsewhere, again and again: 34 workers in two minutes, of 48.
-//! The limit of attempts did not hold, since a worker that has ended lists no failed run, and the log
-//! gave back a lost run's task as if nothing had been. Siblings that had been beside it were placed with it
-//! again each time and did not get to their end either. In the first case below the leader told
+//! Without such a limit, one task of ten that crashed its worker 10 ms after it began took down 34 of 48 workers in two
+//! minutes, each of which restarted 3.2 s later as another incarnation at the same address. The limit of attempts does not
+//! apply, because a crashed worker reports no failed run, and the replicated state queued the task again without counting
+//! the loss. Siblings that ran on the same worker were placed with the task again each time and did not complete either.
+//! In the first case below the leader logged these lines every 3.9 s, up to run 7 within 25 s:
 //!
 //!     1008250 run_lost 0000000000000001.0.0.0 run=2 worker=w01 why="another life answered" age_ms=3440 stage=confirmed beside=2
 //!     1008250 run_lost 0000000000000001.0.0.4 run=2 worker=w01 why="another life answered" age_ms=3440 stage=confirmed beside=2
 //!     1008250 run_lost 0000000000000001.0.0.8 run=2 worker=w01 why="another life answered" age_ms=3440 stage=confirmed beside=2
 //!     1008660 run_placed 0000000000000001.0.0.0 run=3 worker=w03
-//!
-//! and so on every 3.9 s, up to run 7 within 25 s.
 
 mod common;
 
@@ -26,12 +24,12 @@
 use rstest::rstest;
 use workload::{JobId, JobState, StepSpec, WorkerId};
 
-/// How many workers may crash under a task before it is given up.
+/// After how many crashes of its workers a task is given up.
 const MAX_CRASHES: u32 = 3;
-/// The same where something else that is young was there each time, so that it is not sure which was at fault.
-const MOST_IN_COMPANY: u32 = 4;
-/// Long enough for three crashes, each known within 4 s, and the calls for advice between them.
-const UNDERSTOOD: Millis = Millis(25_000);
+/// The same where another young run was on the worker each time, so that it is not certain which of them was faulty.
+const MAX_SHARED_CRASHES: u32 = 4;
+/// Long enough for three crashes, each detected within 4 s, and the calls for advice between them.
+const GIVEN_UP_WITHIN: Millis = Millis(25_000);
 
 fn fleet(seed: u64) -> Fleet {
     fleet_of(seed, "w", 48, Size::new(8_000, 16_000, 0))
@@ -41,7 +39,7 @@
     f.harness.committed.job(job).map(|j| j.state)
 }
 
-/// A step whose first task is at fault beside nine that are well.
+/// Returns a step of ten tasks, of which the tests make the first one faulty.
 fn wide() -> StepSpec {
     StepSpec { estimate: Millis(2_500), checkpointing: true, ..step(10) }
 }
@@ -50,7 +48,7 @@
     StepSpec { gang: true, estimate: Millis(2_500), ..step(4) }
 }
 
-fn lasting() -> StepSpec {
+fn long_running_step() -> StepSpec {
     StepSpec { long_running: true, estimate: Millis(20_000), ..step(3) }
 }
 
@@ -61,8 +59,8 @@
 #[case::after_a_second(wide(), Fault::After(Millis(1_000)))]
 #[case::in_a_gang(gang(), Fault::After(Millis(10)))]
 #[case::in_a_gang_that_has_come_on(gang(), Fault::After(Millis(1_000)))]
-#[case::in_a_task_that_lasts(lasting(), Fault::After(Millis(10)))]
-#[case::in_a_task_that_lasts_for_a_while(lasting(), Fault::After(Millis(1_000)))]
+#[case::in_a_task_that_lasts(long_running_step(), Fault::After(Millis(10)))]
+#[case::in_a_task_that_lasts_for_a_while(long_running_step(), Fault::After(Millis(1_000)))]
 fn a_task_that_crashes_its_workers_is_given_up_after_three(
     #[case] spec: StepSpec,
     #[case] fault: Fault,
@@ -72,7 +70,7 @@
         let job = f.submit_job(Kind::Batch, "bulk", vec![spec.clone()]);
         let faulty = task(job.0, 0, 0);
         f.make_faulty(faulty, fault);
-        f.advance(UNDERSTOOD);
+        f.advance(GIVEN_UP_WITHIN);
         let crashes = f.crashes.under(&faulty);
         assert_eq!(crashes, MAX_CRASHES, "seed {seed}: workers crashed under the task");
         assert_eq!(state(&f, job), Some(JobState::Failed), "seed {seed}");
@@ -81,8 +79,8 @@
     }
 }
 
-/// For eight seconds a fifth of all quick jobs have a task that ends its worker at once, in the midst of others that
-/// are well.
+/// For eight seconds a fifth of all quick jobs have a task that crashes its worker immediately, among other jobs that are
+/// healthy.
 #[test]
 fn crashes_end_the_jobs_at_fault_and_no_other() {
     for seed in 1..=3 {
@@ -94,7 +92,7 @@
             f.make_faulty(task(job.0, 0, 2), Fault::After(Millis(10)));
             mix.drive(&mut f, Millis(400));
         }
-        mix.drive(&mut f, UNDERSTOOD);
+        mix.drive(&mut f, GIVEN_UP_WITHIN);
         f.advance(Millis(15_000));
         let faulty = f.crashes.faulty_jobs();
         for id in f.jobs.keys() {
@@ -104,13 +102,13 @@
             };
             assert_eq!(state(&f, *id), Some(wanted), "seed {seed}: {id}");
             let crashes = f.crashes.by_job(*id);
-            assert!(crashes <= MOST_IN_COMPANY, "seed {seed}: {id} took down {crashes} workers");
+            assert!(crashes <= MAX_SHARED_CRASHES, "seed {seed}: {id} took down {crashes} workers");
         }
     }
 }
 
-/// Twenty tasks that are all at fault end twenty workers before anybody knows. From then on the step goes one
-/// task after the other, so that two more workers are enough to understand it.
+/// Twenty faulty tasks crash twenty workers before the leader knows of any crash. From then on the step runs one task
+/// after the other, so that two more crashes are enough to give it up.
 #[test]
 fn a_step_that_is_at_fault_as_a_whole_takes_few_workers_more() {
     for seed in 1..=3 {
@@ -119,15 +117,15 @@
         (0..20).for_each(|i| f.make_faulty(task(job.0, 0, i), Fault::After(Millis(10))));
         f.advance(Millis(3_000));
         let at_first = f.crashes.by_job(job);
-        f.advance(UNDERSTOOD);
+        f.advance(GIVEN_UP_WITHIN);
         assert_eq!(state(&f, job), Some(JobState::Failed), "seed {seed}");
         let crashes = f.crashes.by_job(job);
         assert_eq!(crashes, at_first + MAX_CRASHES - 1, "seed {seed}: {at_first} at first");
     }
 }
 
-/// Leaders change after every crash, and between a crash and the moment when it is known. The count is in the
-/// log, so it goes on.
+/// Leaders change after every crash, and between a crash and its detection. The count is in the replicated state, so it
+/// goes on.
 #[rstest]
 #[case::while_the_worker_is_down(Millis(1_500))]
 #[case::once_it_is_back(Millis(3_900))]
@@ -137,20 +135,20 @@
         let job = f.submit_job(Kind::Batch, "bulk", vec![wide()]);
         let faulty = task(job.0, 0, 0);
         f.make_faulty(faulty, Fault::After(Millis(10)));
-        for _ in 0..UNDERSTOOD.0 * 2 / every.0 {
+        for _ in 0..GIVEN_UP_WITHIN.0 * 2 / every.0 {
             f.advance(every);
             f.lose_leader();
             f.advance(Millis(300));
             f.take_over();
         }
-        f.advance(UNDERSTOOD);
+        f.advance(GIVEN_UP_WITHIN);
         assert_eq!(f.crashes.under(&faulty), MAX_CRASHES, "seed {seed}");
         assert_eq!(state(&f, job), Some(JobState::Failed), "seed {seed}");
     }
 }
 
-/// The lease runs out before the worker is back, so the task is started elsewhere before the crash is known for
-/// one. Crashes are then counted late, but they are counted: at most two starts follow the third.
+/// The lease expires before the worker is back, so the task is started on another worker before the leader knows that the
+/// first one crashed. Such crashes are counted late: at most two starts follow the third crash.
 #[rstest]
 #[case::back_after_the_lease(Millis(7_000), true)]
 #[case::gone_for_good(Millis(0), false)]
@@ -169,8 +167,8 @@
     }
 }
 
-/// A seventh of the workers crash at once with innocent work, three times within half a minute. No job is given
-/// up, and no task waits long beside workers that have room, which is checked at every step.
+/// A seventh of the workers crash together under healthy tasks, three times within half a minute. No job is given up, and
+/// no task waits for long while workers have capacity, which is checked at every step.
 #[test]
 fn workers_that_crash_for_another_reason_cost_no_job() {
     for seed in 1..=3 {
@@ -185,17 +183,17 @@
         }
         f.finish_all_jobs(Millis(60_000));
         let longest = f.wait_checker.longest;
-        println!("seed {seed}: longest wait beside room {} ms", longest.0);
+        println!("seed {seed}: longest wait despite capacity {} ms", longest.0);
     }
 }
 
-/// A worker that is cut off runs on and is heard of again. However often that happens under a task, it is not
-/// at fault, whether or not its lease ran out.
+/// A worker that is cut off goes on running and is in contact again later. However often that happens to a task's
+/// workers, the task is not faulty, whether or not the lease expired.
 #[test]
 fn workers_that_are_cut_off_are_no_crashes() {
     for seed in 1..=3 {
         let mut f = fleet(seed);
-        let job = f.submit_job(Kind::LongRunning, "mid", vec![lasting()]);
+        let job = f.submit_job(Kind::LongRunning, "mid", vec![long_running_step()]);
         f.advance(Millis(2_000));
         for _ in 0..6 {
             let busy = f.workers(|h| h.long_running_tasks().next().is_some());
@@ -212,13 +210,17 @@
     }
 }
 
-/// A seventh of the workers is cut off for longer than workers are remembered, again and again. They may be lost for
-/// good, but they fell silent together, so no job is given up for it.
+/// The workers of a job, a seventh of all, are cut off again and again for longer than the leader remembers a worker. They
+/// may be lost for good, but they fell silent together, so no job is given up for it.
 #[test]
 fn workers_that_are_cut_off_for_long_cost_no_job() {
     for seed in 1..=3 {
         let mut f = fleet(seed);
-        let job = f.submit_job(Kind::LongRunning, "mid", vec![StepSpec { count: 12, ..lasting() }]);
+        let job = f.submit_job(
+            Kind::LongRunning,
+            "mid",
+            vec![StepSpec { count: 12, ..long_running_step() }],
+        );
         f.advance(Millis(2_000));
         for _ in 0..5 {
             let busy = f.workers(|h| h.long_running_tasks().next().is_some());
@@ -235,11 +237,11 @@
     }
 }
 
-/// Tasks that last meet crashes of their workers all season long. What lies far apart does not add up.
+/// Over a long time the workers of long-running tasks crash every now and then. Crashes far apart do not add up.
 #[test]
 fn crashes_far_apart_do_not_add_up() {
     let mut f = fleet(1);
-    let job = f.submit_job(Kind::LongRunning, "mid", vec![lasting()]);
+    let job = f.submit_job(Kind::LongRunning, "mid", vec![long_running_step()]);
     for _ in 0..6 {
         f.advance(Millis(40_000));
         let busy = f.workers(|h| h.long_running_tasks().next().is_some());
@@ -250,11 +252,11 @@
     assert_eq!(state(&f, job), Some(JobState::Running));
 }
 
-/// A worker that had said it would leave and is gone with a run on it has not crashed.
+/// A worker that announced that it leaves and ends with a run on it has not crashed.
 #[test]
 fn workers_that_leave_are_no_crashes() {
     let mut f = fleet(1);
-    let job = f.submit_job(Kind::LongRunning, "mid", vec![lasting()]);
+    let job = f.submit_job(Kind::LongRunning, "mid", vec![long_running_step()]);
     f.advance(Millis(2_000));
     for _ in 0..4 {
         let busy = f.workers(|h| h.long_running_tasks().next().is_some() && h.is_usable());
@@ -267,15 +269,15 @@
     assert!(f.harness.committed.crashes().is_empty());
 }
 
-/// Ten workers, tasks that last and long batch jobs, and a new job at fault every four seconds that ends whatever
-/// worker it gets. The others meet crash after crash, and none of them is given up for it.
+/// Ten workers with long-running tasks and long batch jobs get a new faulty job every four seconds, which crashes its
+/// worker. The other jobs lose their workers again and again, and none of them is given up for it.
 #[rstest]
 #[case::at_once(Millis(10))]
 #[case::after_a_second(Millis(1_000))]
 fn neighbours_of_many_tasks_at_fault_are_not_given_up(#[case] after: Millis) {
     for seed in 1..=6 {
         let mut f = fleet_of(seed, "w", 10, Size::new(16_000, 32_000, 0));
-        let watchers = f.submit_job(Kind::LongRunning, "mid", vec![lasting()]);
+        let long_running_job = f.submit_job(Kind::LongRunning, "mid", vec![long_running_step()]);
         for _ in 0..2 {
             f.submit_job(Kind::Batch, "bulk", vec![wide()]);
         }
@@ -289,7 +291,7 @@
         f.advance(Millis(60_000));
         let faulty = f.crashes.faulty_jobs();
         for id in f.jobs.keys() {
-            let wanted = match (faulty.contains(id), *id == watchers) {
+            let wanted = match (faulty.contains(id), *id == long_running_job) {
                 (true, _) => JobState::Failed,
                 (_, true) => JobState::Running,
                 _ => JobState::Completed,
@@ -301,8 +303,8 @@
     }
 }
 
-/// Three workers are all that some jobs may use, so that whatever is restarted comes together again: without keeping
-/// suspects apart, the jobs beside the one at fault are given up with it.
+/// Some jobs may use only three workers, so that restarted tasks share a worker again: unless suspects are kept apart, the
+/// other jobs are given up together with the faulty one.
 #[rstest]
 #[case::at_once(Millis(10))]
 #[case::after_a_second(Millis(1_000))]
@@ -324,8 +326,8 @@
     }
 }
 
-/// Quick tasks begin on every worker all the time, so that none is ever without a young run by itself. A task on
-/// its last try gets one kept clear, and its job comes to its end.
+/// Quick tasks begin on every worker all the time, so that no worker is ever without a young run. A worker is kept
+/// clear of them for a task on its last try, so that its job comes to an end.
 #[test]
 fn a_last_try_comes_although_every_worker_has_young_runs() {
     for seed in 1..=3 {
@@ -341,14 +343,14 @@
     }
 }
 
-/// New jobs at fault come every two seconds where there are few workers, and start beside whatever runs there. What
-/// is on its last try is left alone by them, so it is not given up for what they do.
+/// New faulty jobs come every two seconds to a few workers, and start beside whatever runs there. They are not placed
+/// beside a task on its last try, so it is not given up for their crashes.
 #[test]
 fn what_is_on_its_last_try_meets_no_new_job_at_fault() {
     for seed in 1..=10 {
         let mut f = fleet_allowing_all(seed, "x", 5, Size::new(32_000, 64_000, 0));
         let estimate = Millis(2_500);
-        let well: Vec<JobId> = (0..6)
+        let healthy: Vec<JobId> = (0..6)
             .map(|_| f.submit_job(Kind::Batch, "bulk", vec![StepSpec { estimate, ..step(2) }]))
             .collect();
         f.advance(Millis(600));
@@ -358,14 +360,14 @@
             f.advance(Millis(2_000));
         }
         f.advance(Millis(60_000));
-        for id in &well {
+        for id in &healthy {
             assert_eq!(state(&f, *id), Some(JobState::Completed), "seed {seed}: {id}");
         }
     }
 }
 
-/// For ten seconds a tenth of all quick jobs have a task that ends its worker as it starts, and the leader is lost while some
-/// of them are on their way. The next leader counts on from what is committed, so no job takes down more than the bound.
+/// For ten seconds a tenth of all quick jobs have a task that crashes its worker as it starts, and the leader is lost while
+/// some of these starts are under way. The next leader goes on with the committed count, so no job exceeds the bound.
 #[rstest]
 fn tasks_that_crash_their_workers_are_given_up_though_the_leader_is_lost(
     #[values(1, 2, 3)] seed: u64,
@@ -385,16 +387,16 @@
             f.take_over();
         }
     }
-    mix.drive(&mut f, UNDERSTOOD);
+    mix.drive(&mut f, GIVEN_UP_WITHIN);
     f.advance(Millis(15_000));
     for job in f.crashes.faulty_jobs() {
-        assert!(f.crashes.by_job(job) <= MOST_IN_COMPANY, "seed {seed}: {job}");
+        assert!(f.crashes.by_job(job) <= MAX_SHARED_CRASHES, "seed {seed}: {job}");
         assert_eq!(state(&f, job), Some(JobState::Failed), "seed {seed}: {job}");
     }
 }
 
-/// A third of all workers starts again, five times, each time while a wide gang is at work that is well. No gang of that
-/// width has no member among them, and none of them is at fault.
+/// A third of all workers restart, five times, each time while a wide healthy gang runs. Some members of a gang of that
+/// width are always on restarted workers, and none of them is faulty.
 #[rstest]
 fn a_gang_is_not_given_up_since_many_workers_start_again(#[values(1, 2, 3)] seed: u64) {
     let mut f = fleet(seed);
--- a/components/dispatch/tests/forgotten.rs
+++ b/components/dispatch/tests/forgotten.rs
@@ -8,12 +8,12 @@
 use model::Size;
 use workload::StepSpec;
 
-/// Longer than a worker that runs nothing is remembered.
-const LONG_CUT: Millis = Millis(26_500);
+/// Longer than the leader remembers a worker that runs nothing.
+const LONG_OUTAGE: Millis = Millis(26_500);
 
-/// What is free on workers that are reached counts as room in [`common::wait_checker`], whether or not the leader knows them.
-/// So those that it has forgotten must be heard of again, as on the platform, where every worker goes on announcing
-/// itself.
+/// [`common::wait_checker`] counts the free capacity of all workers that can be reached, whether or not the leader knows
+/// them. So the workers that the leader has forgotten must announce themselves again, as every worker of the platform
+/// does all the time.
 #[test]
 fn workers_that_were_forgotten_are_used_again_once_they_are_back() {
     let mut f = Fleet::new(1, 3);
@@ -22,7 +22,7 @@
     f.advance(Millis(500));
     let all = f.workers(|_| true);
     all.iter().for_each(|id| f.set_silent(id, true));
-    f.advance(LONG_CUT);
+    f.advance(LONG_OUTAGE);
     let is_known = |f: &Fleet, id| f.harness.dispatcher.replicated().worker(id).is_some();
     assert!(all.iter().all(|id| !is_known(&f, id)), "all of them are forgotten");
     all.iter().for_each(|id| f.set_silent(id, false));
--- a/components/dispatch/tests/late_orders.rs
+++ b/components/dispatch/tests/late_orders.rs
@@ -1,5 +1,5 @@
-//! Orders that were decided, sent or carried out late: none may start what is over, was cancelled or is on
-//! a worker that is leaving, and what runs all the same is stopped.
+//! Orders that are sent or carried out late: none of them may start a task that is done or cancelled, or start anything on
+//! a worker that is leaving, and a run that begins all the same is stopped.
 
 mod common;
 
@@ -14,13 +14,13 @@
 const FIRST: TaskKey =
     TaskKey { step: workload::StepKey { job: workload::JobId(1), round: 0, step: 0 }, index: 0 };
 
-/// Gives how often a start of the first job's first task has left.
+/// Returns how often a start of the first job's first task was sent.
 fn starts_of_first(b: &Harness) -> usize {
     b.starts().iter().filter(|(_, s)| s.task == FIRST).count()
 }
 
-/// Lets a worker with the first task of a job fall silent until its lease has run out, so that a second
-/// run is placed on `w2`. Nothing of it is committed yet. The job goes on after that task.
+/// Returns a harness in which a worker with the first task of a job fell silent until its lease expired, so that a second
+/// run is placed on `w2` by a command that is not committed yet. The job has another step after that task.
 fn placed_again() -> Harness {
     let mut b = Harness::new("");
     b.join("w1", 4);
@@ -43,26 +43,26 @@
     assert_eq!(b.answer(token), Some(&dispatch::Answer::Cancelled));
 }
 
-/// Has a worker say that it is leaving.
-fn leave(b: &mut Harness, name: &str) {
+/// Makes a worker announce that it is leaving.
+fn announce_leaving(b: &mut Harness, name: &str) {
     let mut leaving = announcement(name, 4);
     (leaving.leaving, leaving.number) = (true, 2);
     b.feed(Input::Announcement(leaving));
     b.commit();
 }
 
-/// Lets time pass with a tick, while nothing is committed.
+/// Moves the clock on and feeds a tick, without committing anything.
 fn tick_without_commit(b: &mut Harness, span: Millis) {
     b.now += span;
     b.feed(Input::Tick);
 }
 
-/// Has a start at a worker go without an answer.
+/// Reports that a start at a worker got no answer.
 fn answer_nothing(b: &mut Harness, name: &str, key: TaskKey, run: u32) {
     b.started(name, key, run, Err(NO_ANSWER()));
 }
 
-/// Asks that one run was told to stop, as often as it takes, and no other.
+/// Asserts that stop orders were sent for one run, and for no other.
 fn assert_stopped(b: &Harness, (on, key): &(String, TaskKey), run: u32) {
     let stops = b.stops();
     assert!(!stops.is_empty(), "{key} runs on");
@@ -109,7 +109,7 @@
     assert_eq!(starts_of_first(&next), 0);
 }
 
-/// The first try was carried out and its answer lost; the run has ended since.
+/// The first start order was carried out and its answer lost; the run has ended since.
 #[test]
 fn a_run_that_ended_before_its_second_try_came_is_not_started_anew_before_its_end_is_told() {
     let mut b = Harness::new("");
@@ -129,7 +129,7 @@
     assert_eq!(b.committed.job(job(1)).map(|j| j.state), Some(JobState::Completed));
 }
 
-/// Has a worker answer a renewal that was sent some time ago.
+/// Answers a renewal that was sent some time ago.
 fn report_late(b: &mut Harness, name: &str, sent_at: Millis) {
     let report = Report { clock: b.now, running: vec![], ends: vec![] };
     b.feed(Input::Renewed { worker: worker(name), sent_at, result: Ok(report) });
@@ -230,7 +230,7 @@
     assert_eq!(b.stops().len(), 9);
 }
 
-/// The run is not in the log any more, and the worker begins it all the same.
+/// The replicated state no longer has the run, and the worker begins it all the same.
 #[test]
 fn a_run_of_a_cancelled_job_that_a_worker_begins_late_is_stopped_as_often_as_it_is_listed() {
     let mut b = Harness::new("");
@@ -272,7 +272,7 @@
     assert_eq!(next.stops().len(), 2, "until it is confirmed");
 }
 
-/// The predecessor's start was not in the log when the job was cancelled, or its run was settled.
+/// The predecessor's start was not in the replicated state when the job was cancelled, or its run was settled.
 #[test]
 fn a_new_leader_stops_a_run_that_the_log_does_not_know() {
     let mut b = Harness::new("");
@@ -290,7 +290,7 @@
 fn a_leaving_worker_is_given_nothing_by_a_later_plan() {
     let mut b = Harness::new("");
     b.join("w1", 4);
-    leave(&mut b, "w1");
+    announce_leaving(&mut b, "w1");
     b.submit(1, spec(vec![step(1)]));
     let run = |b: &Harness| b.dispatcher.replicated().task(&FIRST).map(|t| t.run);
     assert_eq!(run(&b), Some(0), "nor placed there only to be taken back");
@@ -300,7 +300,7 @@
     assert_eq!(run(&b), Some(0));
 }
 
-/// The first try may have been lost, and then the second would be the start.
+/// The first start order may have been lost, and then the second one would start the run.
 #[test]
 fn a_start_without_an_answer_is_stopped_and_not_sent_again_once_its_worker_is_leaving() {
     let mut b = Harness::new("");
@@ -308,13 +308,13 @@
     b.submit(1, spec(vec![step(1)]));
     b.commit();
     answer_nothing(&mut b, "w1", FIRST, 1);
-    leave(&mut b, "w1");
+    announce_leaving(&mut b, "w1");
     b.advance(Millis(500));
     assert_eq!(b.starts().len(), 1);
     assert_eq!(b.stops(), vec![(worker("w1"), FIRST, 1)]);
 }
 
-/// While a worker does not answer, orders to it wait, and it may say at another instance that it leaves.
+/// While a worker does not answer, orders to it wait, and it may announce to another instance that it leaves.
 #[test]
 fn a_start_that_waited_for_a_silent_worker_is_not_sent_again_once_that_worker_is_leaving() {
     let mut b = Harness::new("");
@@ -323,7 +323,7 @@
     b.commit();
     answer_nothing(&mut b, "w1", FIRST, 1);
     b.renewal_fails("w1", NO_ANSWER());
-    leave(&mut b, "w1");
+    announce_leaving(&mut b, "w1");
     b.advance(Millis(3_000));
     b.report("w1", vec![], vec![]);
     b.advance(Millis(100));
@@ -331,7 +331,7 @@
     assert_eq!(b.stops(), vec![(worker("w1"), FIRST, 1)]);
 }
 
-/// A start that is due again is stopped in its place, which has to wait for the cancel as any stop does.
+/// Instead of a start that is due again, a stop is sent, which waits for the commit of the cancel as any stop does.
 #[test]
 fn a_stop_in_place_of_a_start_without_an_answer_leaves_only_once_the_cancel_is_committed() {
     let mut b = Harness::new("");
@@ -346,7 +346,7 @@
     assert_stopped(&b, &("w1".into(), FIRST), 1);
 }
 
-/// Gives a gang of two, one member on each of two workers, whose starts have left.
+/// Returns a harness with a gang of two, one member on each of two workers, whose starts were sent.
 fn gang_of_two() -> Harness {
     let mut b = Harness::new("");
     b.join("w1", 1);
@@ -357,7 +357,7 @@
     b
 }
 
-/// Gives the worker and the key of each member.
+/// Returns the worker and the key of each member.
 fn members(b: &Harness) -> [(String, TaskKey); 2] {
     let member = |i: usize| (b.starts()[i].0.0.to_string(), b.starts()[i].1.task);
     [member(0), member(1)]
@@ -416,7 +416,10 @@
         b.report(&first.0, vec![row(first.1, 1)], vec![]);
         b.report(&second.0, vec![], vec![]);
     }
-    assert!(b.stops().contains(&(worker(&second.0), second.1, 1)), "its fate must get known");
+    assert!(
+        b.stops().contains(&(worker(&second.0), second.1, 1)),
+        "whether it runs must become known"
+    );
     b.stopped(&second.0, second.1, 1);
     b.advance(Millis(10));
     b.report(&second.0, vec![], vec![]);
@@ -433,7 +436,7 @@
     b.commit();
     b.join("w3", 8);
     b.advance(Millis(500));
-    assert_eq!(b.starts().len(), 2, "the first member may be at work yet");
+    assert_eq!(b.starts().len(), 2, "the first member may still run");
     b.report(&first.0, vec![], vec![end(1, first.1, 1, EndKind::Alone)]);
     b.commit();
     b.advance(Millis(500));
