--- a/components/placement/src/assignment.rs
+++ b/components/placement/src/assignment.rs
@@ -1,4 +1,4 @@
-//! Giving tasks their workers.
+//! Assigns tasks to workers.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::worker::WorkerIndex;
 
 impl Planner {
-    /// Places all of `tasks` or none.
+    /// Places all of `tasks`, or none of them.
     pub(crate) fn place_all(
         &mut self,
         now: Millis,
@@ -23,11 +23,11 @@
         for &index in tasks {
             let task = TaskId { job: spec.name.clone(), index };
             let Some(worker) = self.find_worker(now, spec) else {
-                self.take_back(&starts);
+                self.roll_back(&starts);
                 return None;
             };
             if !self.ledger.reserve(worker, &spec.size) {
-                self.take_back(&starts);
+                self.roll_back(&starts);
                 return None;
             }
             self.note_placed(now, spec, generation, task.clone(), worker);
@@ -42,8 +42,9 @@
         Some(starts)
     }
 
-    /// Tells whether the workers that a job does not avoid could not hold its tasks even if they were empty. Then
-    /// the job goes back to where it failed, rather than wait for workers that may never come.
+    /// Returns whether the workers that a job does not avoid could not hold its tasks even if they
+    /// were empty. In that case the job returns to the workers on which it failed, rather than wait
+    /// for workers that may never join.
     pub(crate) fn avoids_too_many(&self, spec: &JobSpec, tasks: usize) -> bool {
         let Some(avoided) = self.avoid.get(&spec.name) else { return false };
         let others = self.ledger.workers().filter(|&ix| self.ledger.is_open(ix));
@@ -58,7 +59,7 @@
         true
     }
 
-    fn take_back(&mut self, starts: &[Decision]) {
+    fn roll_back(&mut self, starts: &[Decision]) {
         for start in starts {
             if let Decision::Start { task, .. } = start {
                 self.release(task);
@@ -71,33 +72,34 @@
         let end = now + self.estimator.expected(spec);
         let skip = |ix: WorkerIndex| {
             avoided.is_some_and(|a| a.contains(&ix))
-                || self.is_kept_for_gang(spec, ix, end)
-                || self.has_its_trial(now, ix)
+                || self.is_reserved_for_gang(spec, ix, end)
+                || self.has_probation_task(now, ix)
         };
         let spread = match spec.spread {
             Spread::None => None,
             Spread::Rack | Spread::Zone => Some(self.spread.get(&spec.name).unwrap_or(&NO_TASKS)),
         };
-        let ask = PlacementRequest {
+        let request = PlacementRequest {
             size: spec.size,
             preference: self.preference(spec),
             spread,
             skip: &skip,
         };
         match self.policy.baseline {
-            Some(baseline) => baseline.select_worker(&self.ledger, &ask),
-            None => self.ledger.select_worker(&ask),
+            Some(baseline) => baseline.select_worker(&self.ledger, &request),
+            None => self.ledger.select_worker(&request),
         }
     }
 
-    /// Tells whether a worker that may be given one task has got it in the plan of `now`.
-    fn has_its_trial(&self, now: Millis, ix: WorkerIndex) -> bool {
+    /// Returns whether a worker on probation was already given its one task in the plan of `now`.
+    fn has_probation_task(&self, now: Millis, ix: WorkerIndex) -> bool {
         let is_new = |task: &TaskId| self.placed.get(task).is_some_and(|p| p.since == now);
-        self.trials.contains(&ix) && self.tasks_on(ix).any(is_new)
+        self.on_probation.contains(&ix) && self.tasks_on(ix).any(is_new)
     }
 
-    /// Services disturb each other least on roomy workers, which matters when waiting weighs most;
-    /// all else is packed tightly, so that room for large tasks stays whole.
+    /// Returns which of the fitting workers a job prefers. Services interfere with each other least
+    /// on workers with much free capacity, which matters under the `Waiting` profile. All other
+    /// work is packed tightly, so that large free capacities are preserved.
     fn preference(&self, spec: &JobSpec) -> Preference {
         match (self.policy.profile, spec.kind) {
             (Profile::Waiting, JobKind::Service) => Preference::MostFree,
--- a/components/placement/src/baseline.rs
+++ b/components/placement/src/baseline.rs
@@ -1,22 +1,27 @@
-//! Plain versions to compare with: the same decision without an index, and two naive policies.
+//! Reference implementations for comparison: the same choice without an index, and two naive
+//! policies.
 
 use crate::ledger::Ledger;
 use crate::search::{PlacementRequest, preference_key};
 use crate::worker::WorkerIndex;
 
-/// A naive policy.
+/// A naive placement policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Baseline {
-    /// The first worker in order that fits.
+    /// The fitting worker with the lowest index.
     FirstFit,
-    /// The worker with the most free.
+    /// The fitting worker with the most free capacity.
     SpreadOnly,
 }
 
 impl Baseline {
-    /// Finds a worker as the naive policy would.
-    pub fn select_worker(self, ledger: &Ledger, ask: &PlacementRequest<'_>) -> Option<WorkerIndex> {
-        let mut fitting = ledger.workers().filter(|&ix| fits(ledger, ask, ix));
+    /// Returns the worker that the naive policy chooses.
+    pub fn select_worker(
+        self,
+        ledger: &Ledger,
+        request: &PlacementRequest<'_>,
+    ) -> Option<WorkerIndex> {
+        let mut fitting = ledger.workers().filter(|&ix| fits(ledger, request, ix));
         match self {
             Baseline::FirstFit => fitting.next(),
             Baseline::SpreadOnly => fitting.min_by_key(|&ix| {
@@ -26,15 +31,18 @@
     }
 }
 
-fn fits(ledger: &Ledger, ask: &PlacementRequest<'_>, ix: WorkerIndex) -> bool {
-    ledger.is_open(ix) && ask.size.fits(&ledger.free(ix)) && !(ask.skip)(ix)
+fn fits(ledger: &Ledger, request: &PlacementRequest<'_>, ix: WorkerIndex) -> bool {
+    ledger.is_open(ix) && request.size.fits(&ledger.free(ix)) && !(request.skip)(ix)
 }
 
-/// Takes the decision of [`Ledger::select_worker`] by looking at every worker.
-pub fn select_worker_by_scan(ledger: &Ledger, ask: &PlacementRequest<'_>) -> Option<WorkerIndex> {
-    let fitting = ledger.workers().filter(|&ix| fits(ledger, ask, ix));
+/// Makes the same choice as [`Ledger::select_worker`] by examining every worker.
+pub fn select_worker_by_scan(
+    ledger: &Ledger,
+    request: &PlacementRequest<'_>,
+) -> Option<WorkerIndex> {
+    let fitting = ledger.workers().filter(|&ix| fits(ledger, request, ix));
     fitting.min_by_key(|&ix| {
-        let crowd = ask.spread.map(|c| c.crowd(&ledger.info(ix).rack, ix));
-        (crowd, preference_key(ask.preference, &ledger.free(ix)), ix)
+        let tasks_near = request.spread.map(|c| c.tasks_near(&ledger.info(ix).rack, ix));
+        (tasks_near, preference_key(request.preference, &ledger.free(ix)), ix)
     })
 }
--- a/components/placement/src/decision.rs
+++ b/components/placement/src/decision.rs
@@ -1,4 +1,4 @@
-//! What a planner decides, and what came of it.
+//! The planner's decisions, and the tasks that it has placed.
 
 use std::sync::Arc;
 
@@ -7,14 +7,14 @@
 
 use crate::worker::WorkerIndex;
 
-/// A task that has a worker.
+/// A task that is assigned to a worker.
 #[derive(Clone, Debug)]
 pub struct PlacedTask {
-    /// Its job.
+    /// The specification of its job.
     pub spec: Arc<JobSpec>,
-    /// The version that created the job.
+    /// The version at which the job was created.
     pub generation: u64,
-    /// Its worker.
+    /// The worker that it is assigned to.
     pub worker: WorkerIndex,
     /// When it was placed.
     pub since: Millis,
@@ -22,29 +22,29 @@
     pub expected_end: Millis,
 }
 
-/// What is to happen.
+/// An action that the planner decided on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// Start a task.
     Start {
         /// The task.
         task: TaskId,
-        /// The worker, already charged for it.
+        /// The worker. The task's size is already reserved on it.
         worker: WorkerIndex,
     },
-    /// Checkpoint and stop a task to make room for urgent work. It goes back to the queue when its
-    /// worker says that it has stopped.
+    /// Checkpoint and stop a task to free capacity for urgent work. The task returns to the queue
+    /// when its worker reports that it has stopped.
     Evict {
         /// The task.
         task: TaskId,
         /// The worker that runs it.
         worker: WorkerIndex,
     },
-    /// The job can never run here.
+    /// No set of workers in this zone can ever run the job.
     Unplaceable {
         /// The job.
         job: JobName,
-        /// Why, in words for its operator.
+        /// The reason, as text for the operator.
         reason: Name,
     },
 }
--- a/components/placement/src/estimate.rs
+++ b/components/placement/src/estimate.rs
@@ -1,23 +1,25 @@
-//! How long tasks really run, learned from those that ended.
+//! Estimates of task run times, learned from the tasks that have ended.
 //!
-//! Declared run times are often far off. The estimate steers backfill and reservations only; it
-//! never lends capacity, so a wrong one costs waiting time and breaks nothing.
+//! Declared run times are often far off. The estimate affects only backfill and reservations, never
+//! how much capacity a task gets, so a wrong estimate costs waiting time but cannot overcommit a
+//! worker.
 
 use std::collections::BTreeMap;
 
 use clock::Millis;
 use model::{JobKind, JobName, JobSpec, Name};
 
-/// The weight of the newest run in the moving ratio, in hundredths.
+/// The weight of the newest run in the moving average of the ratio, in percent.
 const NEWEST_PERCENT: u64 = 25;
 /// A ratio of one, in thousandths.
-const ONE: u64 = 1_000;
-/// Ratios are kept between a hundredth and a hundred.
+const UNIT_RATIO: u64 = 1_000;
+/// The range of stored ratios, in thousandths: from a hundredth to a hundred.
 const RATIO_RANGE: std::ops::RangeInclusive<u64> = 10..=100_000;
-/// How many jobs' own ratios are kept.
-const KEPT_JOBS: usize = 10_000;
+/// The maximum number of jobs with a ratio of their own. It bounds the memory of the estimator;
+/// further jobs use their organisation's ratio.
+const MAX_JOB_RATIOS: usize = 10_000;
 
-/// Learned ratios of real to declared run time, in thousandths.
+/// Learned ratios of actual to declared run time, in thousandths.
 #[derive(Clone, Debug, Default)]
 pub struct Estimator {
     by_job: BTreeMap<JobName, u64>,
@@ -34,33 +36,33 @@
 }
 
 impl Estimator {
-    /// Learns from a task that ran to its end.
+    /// Updates the ratios with a task that ran to completion.
     pub fn learn(&mut self, spec: &JobSpec, ran: Millis) {
         if spec.run_time == Millis::ZERO {
             return;
         }
-        let ratio = (ran.0.saturating_mul(ONE) / spec.run_time.0)
+        let ratio = (ran.0.saturating_mul(UNIT_RATIO) / spec.run_time.0)
             .clamp(*RATIO_RANGE.start(), *RATIO_RANGE.end());
         blend(self.by_organisation.entry((spec.organisation.clone(), spec.kind.into())), ratio);
-        if self.by_job.len() < KEPT_JOBS || self.by_job.contains_key(&spec.name) {
+        if self.by_job.len() < MAX_JOB_RATIOS || self.by_job.contains_key(&spec.name) {
             blend(self.by_job.entry(spec.name.clone()), ratio);
         }
     }
 
-    /// Forgets a job that ended.
+    /// Drops the ratio of a job that has ended.
     pub fn forget(&mut self, job: &JobName) {
         self.by_job.remove(job);
     }
 
-    /// Gives the expected run time of a task; a service runs for ever.
+    /// Returns the expected run time of a task. A service is expected to run forever.
     pub fn expected(&self, spec: &JobSpec) -> Millis {
         if spec.kind == JobKind::Service {
             return Millis::MAX;
         }
         let organisation = (spec.organisation.clone(), spec.kind.into());
         let ratio = self.by_job.get(&spec.name).or_else(|| self.by_organisation.get(&organisation));
-        let ratio = ratio.copied().unwrap_or(ONE);
-        Millis(spec.run_time.0.saturating_mul(ratio) / ONE)
+        let ratio = ratio.copied().unwrap_or(UNIT_RATIO);
+        Millis(spec.run_time.0.saturating_mul(ratio) / UNIT_RATIO)
     }
 }
 
--- a/components/placement/src/index.rs
+++ b/components/placement/src/index.rs
@@ -1,8 +1,9 @@
-//! The index of workers by what they have free.
+//! An index of workers by free capacity.
 //!
-//! Workers stand in buckets by the size class of each dimension, and in each bucket by weight. A
-//! search skips the buckets that cannot hold the task and stops in the others at the first worker
-//! that does, so that its cost depends on the number of buckets and hardly on that of workers.
+//! Workers are grouped into buckets by the size class of each dimension, and sorted by weight
+//! within each bucket. A search skips the buckets that cannot hold the task and stops in each of
+//! the others at the first worker that is accepted, so that its cost depends on the number of
+//! buckets and hardly on the number of workers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,15 +11,16 @@
 
 use crate::worker::WorkerIndex;
 
-/// Classes for each doubling of an amount.
+/// The number of size classes for each doubling of an amount.
 const CLASSES_PER_DOUBLING: u64 = 2;
-/// Free accelerators from this number on share a class.
+/// Workers with at least this many free accelerators share a class.
 const MAX_ACCELERATOR_CLASS: u64 = 16;
-/// One core weighs as much as two gigabytes.
+/// The weight of a thousandth of a core relative to a megabyte of memory: one core weighs as much
+/// as two gigabytes.
 const CPU_WEIGHT: u64 = 2;
 const MEMORY_WEIGHT: u64 = 1;
-/// An accelerator outweighs any worker's processors and memory, so that work without accelerators
-/// goes to workers without them first.
+/// The weight of an accelerator. It exceeds the processors and memory of any worker, so that tasks
+/// without accelerators prefer workers without them.
 const ACCELERATOR_WEIGHT: u64 = 1 << 30;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -51,14 +53,14 @@
     1 + doubling * CLASSES_PER_DOUBLING + upper_half
 }
 
-/// Gives one number for how much is free, so that any two workers can be compared.
+/// Returns the weight of a free capacity: a single number by which workers are compared.
 pub(crate) fn weight(size: &Size) -> u64 {
     size.cpu_milli * CPU_WEIGHT
         + size.memory_mb * MEMORY_WEIGHT
         + size.accelerators * ACCELERATOR_WEIGHT
 }
 
-/// Workers by free room.
+/// Open workers, indexed by free capacity.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FreeIndex {
     buckets: BTreeMap<Bucket, BTreeSet<(u64, WorkerIndex)>>,
@@ -79,7 +81,8 @@
         }
     }
 
-    /// Gives the lightest worker that `accepts`, among those that may hold `need`.
+    /// Returns the worker with the lowest weight that `accepts` allows, among those whose bucket
+    /// may hold `need`.
     pub(crate) fn lightest(
         &self,
         need: &Size,
@@ -100,7 +103,8 @@
         best.map(|b| b.1)
     }
 
-    /// Gives the heaviest worker that `accepts`, the lowest number among equals.
+    /// Returns the worker with the highest weight that `accepts` allows, and the lowest index among
+    /// equals.
     pub(crate) fn heaviest(
         &self,
         need: &Size,
--- a/components/placement/src/ledger.rs
+++ b/components/placement/src/ledger.rs
@@ -1,4 +1,5 @@
-//! What each worker has and what of it is taken. The ledger has one writer: the zone's allocator.
+//! The capacity of each worker and how much of it is taken. The ledger has a single writer, the
+//! zone's allocator.
 
 use std::collections::BTreeMap;
 
@@ -10,14 +11,14 @@
 #[derive(Clone, Debug)]
 struct Slot {
     info: WorkerInfo,
-    /// What is taken, which may be more than the worker has if an earlier allocator was wrong.
+    /// The capacity taken. It exceeds the total if an earlier allocator overcommitted the worker.
     taken: Size,
-    /// Whether it takes new tasks.
+    /// Whether the worker accepts new tasks.
     open: bool,
     present: bool,
 }
 
-/// What each worker has free. A worker that is not open keeps its reservations.
+/// The free capacity of each worker. A closed worker keeps its reservations.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     slots: Vec<Slot>,
@@ -25,12 +26,13 @@
     index: FreeIndex,
     total: Size,
     free: Size,
-    /// Counts whatever may let a waiting task in.
-    freed: u64,
+    /// Counts the changes that may allow a waiting task to start.
+    change_count: u64,
 }
 
 impl Ledger {
-    /// Adds a worker, closed, or gives its place if it is there.
+    /// Adds a worker, closed, and returns its index. If a worker of that name is present, returns
+    /// the index of that one.
     pub fn add(&mut self, info: WorkerInfo) -> WorkerIndex {
         if let Some(&ix) = self.by_name.get(&info.name) {
             return ix;
@@ -41,7 +43,7 @@
         ix
     }
 
-    /// Takes a worker out for good. Its number is not used again.
+    /// Removes a worker permanently. Its index is not reused.
     pub fn remove(&mut self, ix: WorkerIndex) {
         self.set_open(ix, false);
         let slot = &mut self.slots[ix.0 as usize];
@@ -49,33 +51,33 @@
         self.by_name.remove(&slot.info.name);
     }
 
-    /// Finds a worker by name.
+    /// Returns the worker with the given name.
     pub fn find(&self, name: &str) -> Option<WorkerIndex> {
         self.by_name.get(name).copied()
     }
 
-    /// Gives what the platform told of a worker.
+    /// Returns what the platform reported about a worker.
     pub fn info(&self, ix: WorkerIndex) -> &WorkerInfo {
         &self.slots[ix.0 as usize].info
     }
 
-    /// Gives what is free on a worker.
+    /// Returns the free capacity of a worker.
     pub fn free(&self, ix: WorkerIndex) -> Size {
         let slot = &self.slots[ix.0 as usize];
         slot.info.total.minus(&slot.taken)
     }
 
-    /// Gives what is taken on a worker.
+    /// Returns the capacity taken on a worker.
     pub fn taken(&self, ix: WorkerIndex) -> Size {
         self.slots[ix.0 as usize].taken
     }
 
-    /// Tells whether a worker takes new tasks.
+    /// Returns whether a worker accepts new tasks.
     pub fn is_open(&self, ix: WorkerIndex) -> bool {
         self.slots[ix.0 as usize].open
     }
 
-    /// Opens a worker for new tasks or closes it.
+    /// Opens a worker to new tasks, or closes it.
     pub fn set_open(&mut self, ix: WorkerIndex, open: bool) {
         let free = self.free(ix);
         let slot = &mut self.slots[ix.0 as usize];
@@ -83,8 +85,8 @@
             return;
         }
         slot.open = open;
-        // Once a worker is closed, a job may go back to others that it avoided.
-        self.freed += 1;
+        // Closing a worker is counted too: a job may then return to workers that it avoided.
+        self.change_count += 1;
         let total = slot.info.total;
         if open {
             self.index.insert(ix, &free);
@@ -97,34 +99,35 @@
         }
     }
 
-    /// Takes `size` on a worker; gives false and takes nothing if that is more than is free.
+    /// Reserves `size` on a worker. Returns false and reserves nothing if less than that is free.
     #[must_use]
     pub fn reserve(&mut self, ix: WorkerIndex, size: &Size) -> bool {
         if !size.fits(&self.free(ix)) {
             return false;
         }
-        self.put_taken(ix, self.taken(ix).plus(size));
+        self.set_taken(ix, self.taken(ix).plus(size));
         true
     }
 
-    /// Takes what a task that already runs needs. If that is more than the worker has, whoever
-    /// placed it was wrong, and the worker counts as full until enough is given back.
+    /// Reserves the capacity of a task that is already running. If the worker does not have that
+    /// much, the allocator that placed the task overcommitted it, and the worker counts as full
+    /// until enough is released.
     pub fn reserve_running(&mut self, ix: WorkerIndex, size: &Size) {
-        self.put_taken(ix, self.taken(ix).plus(size));
+        self.set_taken(ix, self.taken(ix).plus(size));
     }
 
-    /// Gives `size` back on a worker.
+    /// Releases `size` on a worker.
     pub fn release(&mut self, ix: WorkerIndex, size: &Size) {
-        self.put_taken(ix, self.taken(ix).minus(size));
-        self.freed += 1;
+        self.set_taken(ix, self.taken(ix).minus(size));
+        self.change_count += 1;
     }
 
-    /// Notes a change outside the ledger that may let a waiting task in.
+    /// Records a change outside the ledger that may allow a waiting task to start.
     pub(crate) fn note_change(&mut self) {
-        self.freed += 1;
+        self.change_count += 1;
     }
 
-    fn put_taken(&mut self, ix: WorkerIndex, taken: Size) {
+    fn set_taken(&mut self, ix: WorkerIndex, taken: Size) {
         let before = self.free(ix);
         let slot = &mut self.slots[ix.0 as usize];
         slot.taken = taken;
@@ -136,28 +139,28 @@
         }
     }
 
-    /// Gives every worker that is present.
+    /// Returns all present workers.
     pub fn workers(&self) -> impl Iterator<Item = WorkerIndex> {
         let present = self.slots.iter().enumerate().filter(|(_, s)| s.present);
         present.map(|(i, _)| WorkerIndex(i as u32))
     }
 
-    /// Gives what the open workers have in all.
+    /// Returns the total capacity of the open workers.
     pub fn total(&self) -> Size {
         self.total
     }
 
-    /// Gives what the open workers have free in all.
+    /// Returns the total free capacity of the open workers.
     pub fn total_free(&self) -> Size {
         self.free
     }
 
-    /// Tells whether the ledger has any worker.
+    /// Returns whether the ledger has no workers.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
 
-    /// Gives the most that a present worker has in each dimension on its own.
+    /// Returns the largest capacity of any present worker, for each dimension separately.
     pub fn largest(&self) -> Size {
         let mut largest = Size::ZERO;
         for slot in self.slots.iter().filter(|s| s.present) {
@@ -169,8 +172,8 @@
         largest
     }
 
-    /// Gives how many tasks of `size` the present workers could hold if all were empty, counting
-    /// no further than `enough`.
+    /// Returns how many tasks of `size` the present workers could hold if they were all empty,
+    /// counting up to `enough`.
     pub fn tasks_fitting_when_empty(&self, size: &Size, enough: u64) -> u64 {
         let mut found = 0;
         for slot in self.slots.iter().filter(|s| s.present) {
@@ -186,7 +189,7 @@
         &self.index
     }
 
-    pub(crate) fn freed(&self) -> u64 {
-        self.freed
+    pub(crate) fn change_count(&self) -> u64 {
+        self.change_count
     }
 }
--- a/components/placement/src/lib.rs
+++ b/components/placement/src/lib.rs
@@ -1,7 +1,8 @@
-//! Deciding which worker runs which task. Pure code: state and time in, decisions out.
+//! Assignment of tasks to workers. The code is pure: it maps state and time to decisions.
 //!
-//! [`Ledger`] knows what is free, [`Planner`] decides who gets it. docs/design/placement.md says
-//! what was weighed and by which measurement it was chosen.
+//! [`Ledger`] tracks the free capacity, and [`Planner`] decides which task gets it. The
+//! alternatives that were considered, and the measurements behind the choice, are in
+//! docs/design/placement.md.
 
 mod assignment;
 mod baseline;
--- a/components/placement/src/limits.rs
+++ b/components/placement/src/limits.rs
@@ -1,14 +1,16 @@
-//! Who may have more: ceilings of organisations, room kept for urgent work, and jobs that no worker can hold.
+//! Limits on what may start: quotas of organisations, capacity reserved for urgent work, and jobs
+//! that no worker can hold.
 
 use model::{Class, JobKind, JobSpec, Name, Profile};
 
 use crate::planner::Planner;
 
-/// The part of the processors kept free of bulk work when waiting weighs most, in percent.
+/// The fraction of the processors that bulk work leaves free under the `Waiting` profile, in
+/// percent.
 const HEADROOM_PERCENT: u64 = 5;
 
 impl Planner {
-    /// Gives the largest part that an organisation has of any dimension, in millionths.
+    /// Returns the largest share that an organisation uses of any dimension, in millionths.
     pub(crate) fn dominant_share(&self, organisation: &Name) -> u64 {
         let Some(used) = self.usage.get(organisation) else { return 0 };
         let total = self.ledger.total();
@@ -16,8 +18,8 @@
         model::Dimension::ALL.into_iter().filter_map(part).max().unwrap_or(0)
     }
 
-    /// Says why a job can never run here, if so.
-    pub(crate) fn why_hopeless(&self, spec: &JobSpec, tasks: usize) -> Option<Name> {
+    /// Returns the reason why a job can never run here, if there is one.
+    pub(crate) fn unplaceable_reason(&self, spec: &JobSpec, tasks: usize) -> Option<Name> {
         if self.ledger.is_empty() {
             return None;
         }
@@ -33,7 +35,8 @@
         None
     }
 
-    /// Tells whether the organisation's ceiling and the headroom for urgent work leave room.
+    /// Returns whether the organisation's quota and the capacity reserved for urgent work allow
+    /// `tasks` more tasks.
     pub(crate) fn within_limits(&self, spec: &JobSpec, tasks: usize) -> bool {
         let wanted = spec.size.times(tasks as u64);
         if let Some(quota) = self.policy.quotas.get(&spec.organisation) {
@@ -48,7 +51,7 @@
         if !keeps_headroom {
             return true;
         }
-        let kept = self.ledger.total().cpu_milli * HEADROOM_PERCENT / 100;
-        self.ledger.total_free().cpu_milli >= wanted.cpu_milli + kept
+        let reserved = self.ledger.total().cpu_milli * HEADROOM_PERCENT / 100;
+        self.ledger.total_free().cpu_milli >= wanted.cpu_milli + reserved
     }
 }
--- a/components/placement/src/organisation_queue.rs
+++ b/components/placement/src/organisation_queue.rs
@@ -1,56 +1,59 @@
-//! The jobs of one class that one organisation has waiting, and how a round goes through them.
+//! The waiting jobs of one class and organisation, and the order in which a planning round tries
+//! them.
 //!
-//! Load pattern: hundreds of an organisation's jobs wait, and the oldest of them can start nowhere. A round that tried
-//! the oldest ones only would never come to those behind, however much is free for them. So each round also
-//! tries some of the rest, by turns.
+//! When hundreds of an organisation's jobs wait and the oldest of them cannot start anywhere, a
+//! round that tried only the oldest would never reach the jobs behind them, however much capacity
+//! is free. Each round therefore also tries some of the younger jobs, in rotation.
 
 use std::collections::BTreeMap;
 
 use model::JobName;
 
-/// How many stuck jobs a round passes over from the front of a line. It bounds the time that a round takes.
-const OLDEST: usize = 64;
-/// How many stuck jobs behind those a round passes over: with a round every 20 ms each of 800 such jobs has
-/// its turn every second, for a quarter of a round's looks more.
-const BY_TURNS: usize = 16;
+/// The maximum number of stuck jobs that a round skips from the front of the queue. It bounds the
+/// duration of a round.
+const MAX_SKIPPED_OLDEST: usize = 64;
+/// The maximum number of stuck jobs behind those that a round skips. With a round every 20 ms, each
+/// of 800 such jobs is tried once a second, at the cost of a quarter more jobs examined in each
+/// round.
+const MAX_SKIPPED_IN_ROTATION: usize = 16;
 
-/// The jobs by age.
+/// Waiting jobs, by age.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Line {
+pub(crate) struct OrganisationQueue {
     jobs: BTreeMap<u64, JobName>,
-    /// The job that was last passed over by turns.
-    last_turn: u64,
-    lap: Lap,
+    /// The order of the job that was last skipped in rotation.
+    last_rotated: u64,
+    pass: Pass,
 }
 
-/// How far the turns have come in trying every job once. Without it the planner could not tell when nothing is
-/// left to try, and would plan for good beside a long line that is stuck.
+/// The progress of the rotation through all jobs. Without it the planner could not tell when there
+/// is nothing left to try, and would plan continuously while a long queue is stuck.
 #[derive(Clone, Copy, Debug, Default)]
-struct Lap {
-    /// The planner's number for it; another one has begun once that is higher.
+struct Pass {
+    /// The planner's number of the pass. A higher number starts a new pass.
     number: u64,
-    /// The job behind which it began.
+    /// The order of the job after which the pass started.
     from: u64,
-    has_begun_anew: bool,
-    is_over: bool,
+    has_wrapped: bool,
+    is_complete: bool,
 }
 
-impl Lap {
-    /// Notes that the turns have come to the job at `order`.
-    fn come_to(&mut self, order: u64) {
-        self.is_over |= self.has_begun_anew && order >= self.from;
+impl Pass {
+    /// Records that the rotation has reached the job at `order`.
+    fn record_reached(&mut self, order: u64) {
+        self.is_complete |= self.has_wrapped && order >= self.from;
     }
 }
 
-/// Where a round stands in a line.
+/// The position of a round in a queue.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Walk {
-    /// The job behind which it goes on.
-    behind: Option<u64>,
-    passed: usize,
+pub(crate) struct Cursor {
+    /// The order of the job after which the round continues.
+    after: Option<u64>,
+    skipped: usize,
 }
 
-impl Line {
+impl OrganisationQueue {
     pub(crate) fn insert(&mut self, order: u64, job: JobName) {
         self.jobs.insert(order, job);
     }
@@ -63,46 +66,49 @@
         self.jobs.is_empty()
     }
 
-    /// Tells whether the lap tried every job, after a round that went as far as it may.
-    pub(crate) fn is_tried(&self) -> bool {
-        self.jobs.len() <= OLDEST || self.lap.is_over
+    /// Returns whether the pass has tried every job. Valid after a round that went as far as it
+    /// may.
+    pub(crate) fn is_pass_complete(&self) -> bool {
+        self.jobs.len() <= MAX_SKIPPED_OLDEST || self.pass.is_complete
     }
 
-    /// Gives the job that a round tries next.
-    pub(crate) fn next(&self, walk: &Walk) -> Option<&JobName> {
-        if walk.passed >= OLDEST + BY_TURNS {
+    /// Returns the next job for the round to try.
+    pub(crate) fn next(&self, cursor: &Cursor) -> Option<&JobName> {
+        if cursor.skipped >= MAX_SKIPPED_OLDEST + MAX_SKIPPED_IN_ROTATION {
             return None;
         }
-        self.first_behind(walk.behind)
+        self.first_after(cursor.after)
     }
 
-    fn first_behind(&self, behind: Option<u64>) -> Option<&JobName> {
-        let from = behind.map_or(0, |order| order + 1);
+    fn first_after(&self, after: Option<u64>) -> Option<&JobName> {
+        let from = after.map_or(0, |order| order + 1);
         self.jobs.range(from..).next().map(|(_, job)| job)
     }
 
-    /// Notes that a round of a lap passes over the job at `order`.
-    pub(crate) fn pass_over(&mut self, order: u64, walk: &mut Walk, lap: u64) {
-        walk.passed += 1;
-        walk.behind = Some(order);
-        if walk.passed == OLDEST {
-            walk.behind = Some(self.go_on_behind(order, lap));
-        } else if walk.passed > OLDEST {
-            self.last_turn = order;
-            self.lap.come_to(order);
+    /// Records that a round of a pass skips the job at `order`.
+    pub(crate) fn skip_job(&mut self, order: u64, cursor: &mut Cursor, pass: u64) {
+        cursor.skipped += 1;
+        cursor.after = Some(order);
+        if cursor.skipped == MAX_SKIPPED_OLDEST {
+            cursor.after = Some(self.resume_after(order, pass));
+        } else if cursor.skipped > MAX_SKIPPED_OLDEST {
+            self.last_rotated = order;
+            self.pass.record_reached(order);
         }
     }
 
-    /// Gives the job behind which the turns go on. Behind the last one they begin anew.
-    fn go_on_behind(&mut self, oldest: u64, lap: u64) -> u64 {
-        let goes_on = self.last_turn > oldest && self.first_behind(Some(self.last_turn)).is_some();
-        let behind = if goes_on { self.last_turn } else { oldest };
-        if self.lap.number != lap {
-            self.lap = Lap { number: lap, from: behind, ..Lap::default() };
-        } else if !goes_on {
-            self.lap.has_begun_anew = true;
+    /// Returns the order of the job after which the rotation resumes. After the last job it starts
+    /// over.
+    fn resume_after(&mut self, oldest: u64, pass: u64) -> u64 {
+        let can_resume =
+            self.last_rotated > oldest && self.first_after(Some(self.last_rotated)).is_some();
+        let after = if can_resume { self.last_rotated } else { oldest };
+        if self.pass.number != pass {
+            self.pass = Pass { number: pass, from: after, ..Pass::default() };
+        } else if !can_resume {
+            self.pass.has_wrapped = true;
         }
-        self.lap.come_to(behind);
-        behind
+        self.pass.record_reached(after);
+        after
     }
 }
--- a/components/placement/src/planner.rs
+++ b/components/placement/src/planner.rs
@@ -1,4 +1,5 @@
-//! Who gets what is free: classes first, then fair shares between organisations, then age.
+//! Decides which waiting task gets free capacity: by class first, then by fair shares between
+//! organisations, then by age.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,22 +10,22 @@
 use crate::decision::{Decision, PlacedTask};
 use crate::estimate::Estimator;
 use crate::ledger::Ledger;
-use crate::organisation_queue::Walk;
-use crate::planning_round::{NoRoom, Round};
+use crate::organisation_queue::Cursor;
+use crate::planning_round::{PlanningRound, UnplacedTask};
 use crate::policy::Policy;
 use crate::reservation::Reservation;
 use crate::search::SpreadCounts;
 use crate::waiting_tasks::WaitingTasks;
 use crate::worker::WorkerIndex;
 
-/// Decides who gets what is free.
+/// The planner of one zone: assigns free capacity to waiting tasks.
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
-    /// The rules.
+    /// The placement policy.
     pub policy: Policy,
-    /// What is free.
+    /// The capacity of the workers.
     pub ledger: Ledger,
-    /// What is known of run times.
+    /// Run time estimates.
     pub estimator: Estimator,
     pub(crate) queue: WaitingTasks,
     pub(crate) placed: BTreeMap<TaskId, PlacedTask>,
@@ -32,26 +33,27 @@
     pub(crate) spread: BTreeMap<JobName, SpreadCounts>,
     pub(crate) avoid: BTreeMap<JobName, BTreeSet<WorkerIndex>>,
     pub(crate) usage: BTreeMap<Name, Size>,
-    /// The workers that may be given one task in a plan.
-    pub(crate) trials: BTreeSet<WorkerIndex>,
+    /// The workers on probation. Each may be given one task in a plan.
+    pub(crate) on_probation: BTreeSet<WorkerIndex>,
     pub(crate) reservation: Option<Reservation>,
-    /// What was told to checkpoint and has not stopped yet.
+    /// The tasks that were told to checkpoint and have not stopped yet.
     pub(crate) evicting: BTreeSet<TaskId>,
-    /// The number of the lap: the rounds since something changed that stuck work may gain by.
-    lap: u64,
-    /// The last lap that left nothing to try.
-    settled_lap: Option<u64>,
-    /// The ledger's count after the last round.
-    freed_seen: u64,
+    /// The number of the pass. A new pass begins with each change that may allow stuck work to
+    /// start.
+    pass: u64,
+    /// The last pass after which nothing was left to try.
+    settled_pass: Option<u64>,
+    /// The ledger's change count after the last round.
+    change_count_seen: u64,
 }
 
 impl Planner {
-    /// Makes a planner with these rules.
+    /// Creates a planner with the given policy.
     pub fn new(policy: Policy) -> Planner {
         Planner { policy, ..Planner::default() }
     }
 
-    /// Lets tasks of a job wait for a worker.
+    /// Adds waiting tasks of a job.
     pub fn submit(
         &mut self,
         now: Millis,
@@ -60,22 +62,22 @@
         tasks: impl IntoIterator<Item = u32>,
     ) {
         self.queue.add(now, spec, generation, tasks);
-        self.lap += 1;
+        self.pass += 1;
     }
 
-    /// Takes a job's waiting tasks out, in one step however many there are, and forgets what was
-    /// learned of where it fails.
+    /// Removes a job's waiting tasks, in one step however many there are, with its run time
+    /// estimate and the workers that it avoids. Returns how many tasks waited.
     pub fn withdraw(&mut self, job: &JobName) -> usize {
         self.avoid.remove(job);
         self.estimator.forget(job);
         if self.reservation.as_ref().is_some_and(|r| r.job == *job) {
             self.reservation = None;
-            self.lap += 1;
+            self.pass += 1;
         }
         self.queue.remove(job).map_or(0, |b| b.waiting.len())
     }
 
-    /// Takes in a task that a worker already runs.
+    /// Records a task that a worker is already running.
     pub fn adopt(
         &mut self,
         now: Millis,
@@ -93,7 +95,7 @@
         self.note_placed(now, spec, generation, task, worker);
     }
 
-    /// Gives a placed task's room back. The task does not wait again by itself.
+    /// Releases the capacity of a placed task. The task is not queued again.
     pub fn release(&mut self, task: &TaskId) -> Option<PlacedTask> {
         let placed = self.placed.remove(task)?;
         self.evicting.remove(task);
@@ -110,126 +112,128 @@
         Some(placed)
     }
 
-    /// Keeps a job's tasks away from a worker on which one of them failed, and gives from how many
-    /// they are kept away.
+    /// Makes a job's tasks avoid a worker on which one of them failed. Returns how many workers the
+    /// job avoids.
     pub fn avoid(&mut self, job: &JobName, worker: WorkerIndex) -> usize {
         let workers = self.avoid.entry(job.clone()).or_default();
         workers.insert(worker);
         workers.len()
     }
 
-    /// Says whether a worker may be given one task in a plan, or as many as fit.
-    pub fn set_probation(&mut self, worker: WorkerIndex, is_trial: bool) {
-        match is_trial {
-            true => self.trials.insert(worker),
-            false => self.trials.remove(&worker),
+    /// Sets whether a worker is on probation. Such a worker may be given one task in a plan; any
+    /// other as many as fit.
+    pub fn set_probation(&mut self, worker: WorkerIndex, is_on_probation: bool) {
+        match is_on_probation {
+            true => self.on_probation.insert(worker),
+            false => self.on_probation.remove(&worker),
         };
     }
 
-    /// Lets a job's tasks go back to workers on which they failed.
+    /// Allows a job's tasks to return to the workers on which they failed.
     pub fn clear_avoided(&mut self, job: &JobName) {
         self.avoid.remove(job);
-        self.lap += 1;
-        if let Some(bundle) = self.queue.get_mut(job) {
-            bundle.stuck_at = None;
+        self.pass += 1;
+        if let Some(waiting_job) = self.queue.get_mut(job) {
+            waiting_job.stuck_at = None;
         }
     }
 
-    /// Gives a placed task.
+    /// Returns a placed task.
     pub fn placed(&self, task: &TaskId) -> Option<&PlacedTask> {
         self.placed.get(task)
     }
 
-    /// Gives all placed tasks.
+    /// Returns all placed tasks.
     pub fn all_placed(&self) -> impl Iterator<Item = (&TaskId, &PlacedTask)> {
         self.placed.iter()
     }
 
-    /// Gives the tasks placed on a worker.
+    /// Returns the tasks placed on a worker.
     pub fn tasks_on(&self, worker: WorkerIndex) -> impl Iterator<Item = &TaskId> {
         self.by_worker.get(&worker).into_iter().flatten()
     }
 
-    /// Gives the tasks that wait.
+    /// Returns the waiting tasks.
     pub fn queue(&self) -> &WaitingTasks {
         &self.queue
     }
 
-    /// Tells that the rules or workers changed, so that stuck work is looked at again.
+    /// Causes stuck work to be re-examined, after a change of the policy or the workers.
     pub fn reexamine_stuck(&mut self) {
-        self.lap += 1;
+        self.pass += 1;
     }
 
-    /// Tells whether nothing waits that is worth a try before something changes.
+    /// Returns whether no waiting task is worth trying until something changes.
     pub fn is_settled(&self) -> bool {
-        let is_unchanged = self.freed_seen == self.ledger.freed();
-        self.queue.is_empty() || is_unchanged && self.settled_lap == Some(self.lap)
+        let is_unchanged = self.change_count_seen == self.ledger.change_count();
+        self.queue.is_empty() || is_unchanged && self.settled_pass == Some(self.pass)
     }
 
-    /// Decides up to `budget` starts.
+    /// Plans one round, which ends once it has `budget` decisions.
     pub fn plan(&mut self, now: Millis, budget: usize) -> Vec<Decision> {
         if self.is_settled() && self.reservation.is_none() {
             return Vec::new();
         }
-        if self.freed_seen != self.ledger.freed() {
-            self.lap += 1;
+        if self.change_count_seen != self.ledger.change_count() {
+            self.pass += 1;
         }
         self.refresh_reservation(now);
-        let mut round = Round { lap: self.lap, ..Round::default() };
+        let mut round = PlanningRound { pass: self.pass, ..PlanningRound::default() };
         for class in Class::ALL {
             self.plan_class(now, class, budget, &mut round);
         }
-        let is_tried = round.decisions.len() < budget && self.queue.is_tried();
-        if is_tried && !self.policy.only_immovable {
-            self.settled_lap = Some(round.lap);
+        let is_pass_complete = round.decisions.len() < budget && self.queue.is_pass_complete();
+        if is_pass_complete && !self.policy.only_immovable {
+            self.settled_pass = Some(round.pass);
         }
-        self.freed_seen = self.ledger.freed();
+        self.change_count_seen = self.ledger.change_count();
         round.decisions
     }
 
-    fn plan_class(&mut self, now: Millis, class: Class, budget: usize, round: &mut Round) {
-        let mut walks: BTreeMap<Name, Walk> = BTreeMap::new();
+    fn plan_class(&mut self, now: Millis, class: Class, budget: usize, round: &mut PlanningRound) {
+        let mut cursors: BTreeMap<Name, Cursor> = BTreeMap::new();
         while round.decisions.len() < budget {
-            let Some((organisation, job)) = self.next_job(class, &walks) else { return };
+            let Some((organisation, job)) = self.next_job(class, &cursors) else { return };
             if !self.try_job(now, &job, round) {
-                self.queue.pass_over(&job, walks.entry(organisation).or_default(), round.lap);
+                self.queue.skip_job(&job, cursors.entry(organisation).or_default(), round.pass);
             }
         }
     }
 
-    /// Gives the next job of the organisation that uses the least, passing over jobs already tried.
-    fn next_job(&self, class: Class, walks: &BTreeMap<Name, Walk>) -> Option<(Name, JobName)> {
+    /// Returns the next untried job of the organisation with the lowest dominant share.
+    fn next_job(&self, class: Class, cursors: &BTreeMap<Name, Cursor>) -> Option<(Name, JobName)> {
         let mut best: Option<(u64, &Name, &JobName)> = None;
         for organisation in self.queue.organisations(class) {
-            let walk = walks.get(organisation).copied().unwrap_or_default();
-            let Some(bundle) = self.queue.next_in_line(class, organisation, &walk) else {
+            let cursor = cursors.get(organisation).copied().unwrap_or_default();
+            let Some(waiting_job) = self.queue.next_candidate(class, organisation, &cursor) else {
                 continue;
             };
             let share = self.dominant_share(organisation);
             if best.is_none_or(|(s, t, _)| (share, organisation) < (s, t)) {
-                best = Some((share, organisation, &bundle.spec.name));
+                best = Some((share, organisation, &waiting_job.spec.name));
             }
         }
         best.map(|(_, organisation, job)| (organisation.clone(), job.clone()))
     }
 
-    /// Tries to start a task of `job`, or all of a gang's. Gives false if it has to be passed over.
-    fn try_job(&mut self, now: Millis, job: &JobName, round: &mut Round) -> bool {
-        let Some(bundle) = self.queue.get(job) else { return false };
-        let (spec, generation) = (bundle.spec.clone(), bundle.generation);
+    /// Tries to start one task of `job`, or all tasks of a gang. Returns false if the job has to be
+    /// skipped.
+    fn try_job(&mut self, now: Millis, job: &JobName, round: &mut PlanningRound) -> bool {
+        let Some(waiting_job) = self.queue.get(job) else { return false };
+        let (spec, generation) = (waiting_job.spec.clone(), waiting_job.generation);
         let tasks: Vec<u32> = match spec.kind {
-            JobKind::Gang => bundle.waiting.iter().copied().collect(),
-            _ => bundle.waiting.iter().take(1).copied().collect(),
+            JobKind::Gang => waiting_job.waiting.iter().copied().collect(),
+            _ => waiting_job.waiting.iter().take(1).copied().collect(),
         };
         let barred = self.policy.only_immovable && spec.may_move;
-        if barred || bundle.stuck_at == Some(self.ledger.freed()) {
+        if barred || waiting_job.stuck_at == Some(self.ledger.change_count()) {
             return false;
         }
         if !self.within_limits(&spec, tasks.len()) {
             return false;
         }
         let run = self.estimator.expected(&spec);
-        let mut found = match round.is_known_stuck(&spec, run) {
+        let mut found = match round.is_known_not_to_fit(&spec, run) {
             true => None,
             false => self.place_all(now, &spec, generation, &tasks),
         };
@@ -241,47 +245,55 @@
             round.decisions.extend(starts);
             return true;
         }
-        if let Some(reason) = self.why_hopeless(&spec, tasks.len()) {
+        if let Some(reason) = self.unplaceable_reason(&spec, tasks.len()) {
             self.withdraw(job);
             round.decisions.push(Decision::Unplaceable { job: job.clone(), reason });
             return true;
         }
         if tasks.len() == 1 && !self.avoid.contains_key(job) {
             let (size, spread) = (spec.size, spec.spread != Spread::None);
-            round.no_room.push(NoRoom { size, spread, run });
+            round.unplaced.push(UnplacedTask { size, spread, run });
         }
-        self.note_stuck(now, &spec, &tasks, round);
+        self.record_stuck(now, &spec, &tasks, round);
         false
     }
 
-    fn note_stuck(&mut self, now: Millis, spec: &Arc<JobSpec>, tasks: &[u32], round: &mut Round) {
+    fn record_stuck(
+        &mut self,
+        now: Millis,
+        spec: &Arc<JobSpec>,
+        tasks: &[u32],
+        round: &mut PlanningRound,
+    ) {
         if spec.kind == JobKind::Gang && self.reservation.is_none() {
             self.reserve_for_gang(now, spec, tasks.len());
         }
-        let freed = self.ledger.freed();
+        let change_count = self.ledger.change_count();
         let stuck_at = match spec.class {
-            Class::Urgent => self.make_room_for(spec, round),
-            Class::Normal | Class::Bulk => Some(freed),
+            Class::Urgent => self.evict_for(spec, round),
+            Class::Normal | Class::Bulk => Some(change_count),
         };
-        if let Some(bundle) = self.queue.get_mut(&spec.name) {
-            bundle.stuck_at = stuck_at;
+        if let Some(waiting_job) = self.queue.get_mut(&spec.name) {
+            waiting_job.stuck_at = stuck_at;
         }
-        if stuck_at != Some(freed) {
-            // Workers are left to look at.
-            self.lap += 1;
+        if stuck_at != Some(change_count) {
+            // The eviction search has workers left to examine.
+            self.pass += 1;
         }
     }
 
-    /// Makes room for the waiting tasks of a job, and gives the ledger's count at which it is stuck.
-    fn make_room_for(&mut self, spec: &JobSpec, round: &mut Round) -> Option<u64> {
-        let bundle = self.queue.get(&spec.name)?;
-        let made = self.make_room(spec, bundle.waiting.len(), bundle.room_search);
-        round.decisions.extend(made.decisions);
-        self.queue.get_mut(&spec.name)?.room_search = made.search;
-        made.stuck_at
+    /// Plans evictions for the waiting tasks of a job. Returns the change count at which the job is
+    /// stuck.
+    fn evict_for(&mut self, spec: &JobSpec, round: &mut PlanningRound) -> Option<u64> {
+        let waiting_job = self.queue.get(&spec.name)?;
+        let plan =
+            self.plan_evictions(spec, waiting_job.waiting.len(), waiting_job.eviction_search);
+        round.decisions.extend(plan.decisions);
+        self.queue.get_mut(&spec.name)?.eviction_search = plan.search;
+        plan.stuck_at
     }
 
-    /// Gives how the used part of the open workers stands, for each dimension, in thousandths.
+    /// Returns the used fraction of the open workers' capacity for each dimension, in thousandths.
     pub fn packing(&self) -> [u64; 3] {
         let (total, free) = (self.ledger.total(), self.ledger.total_free());
         model::Dimension::ALL.map(|d| {
--- a/components/placement/src/policy.rs
+++ b/components/placement/src/policy.rs
@@ -1,4 +1,4 @@
-//! The rules by which a planner decides.
+//! The policy that a planner follows.
 
 use std::collections::BTreeMap;
 
@@ -6,18 +6,18 @@
 
 use crate::baseline::Baseline;
 
-/// The rules a planner follows.
+/// The placement policy of a planner.
 #[derive(Clone, Debug)]
 pub struct Policy {
-    /// What weighs most.
+    /// What the zone optimises for.
     pub profile: Profile,
-    /// A naive policy in place of our own, to compare with.
+    /// A naive policy to use instead, for comparison.
     pub baseline: Option<Baseline>,
-    /// Whether short work may start on workers that a gang waits for.
+    /// Whether short tasks may start on workers that are reserved for a gang.
     pub backfill: bool,
-    /// Whether only tasks that may not move are started.
+    /// Whether only tasks that may not move to another zone are started.
     pub only_immovable: bool,
-    /// The organisations' ceilings in this zone.
+    /// The quotas of organisations in this zone.
     pub quotas: BTreeMap<Name, Size>,
 }
 
--- a/components/placement/src/preempt.rs
+++ b/components/placement/src/preempt.rs
@@ -1,4 +1,4 @@
-//! Making room for urgent work by checkpointing what can wait.
+//! Preemption: frees capacity for urgent work by checkpointing and stopping less urgent tasks.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -9,65 +9,67 @@
 use crate::planner::Planner;
 use crate::worker::WorkerIndex;
 
-/// How many workers a plan looks at for one urgent job. The next plans go on behind them: else urgent work would
-/// wait for good beside bulk work if the first workers run only what cannot be stopped.
-const WINDOW: usize = 512;
-/// For how many tasks of one job room is made at once.
-const MAX_ROOMS: usize = 64;
+/// The maximum number of workers that a plan examines for one urgent job. The next plans continue
+/// after them: otherwise urgent work would wait indefinitely if the first workers run only tasks
+/// that cannot be stopped.
+const MAX_WORKERS_EXAMINED: usize = 512;
+/// The maximum number of tasks of one job for which capacity is being freed at a time.
+const MAX_TASKS_FREED_FOR: usize = 64;
 
-/// How far the search for workers on which to make room for a job has come.
+/// The progress of the search for workers on which to free capacity for a job.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct RoomSearch {
-    /// The last worker looked at.
-    behind: Option<WorkerIndex>,
-    /// The ledger's count when it began: what was freed since may stand on workers that it has passed.
-    begun_at: u64,
+pub(crate) struct EvictionSearch {
+    /// The last worker examined.
+    after: Option<WorkerIndex>,
+    /// The ledger's change count when the search began. Capacity freed since then may be on workers
+    /// that it has already examined.
+    started_at: u64,
 }
 
-/// What came of one look for room.
-pub(crate) struct RoomMade {
+/// The result of one step of an eviction search.
+pub(crate) struct EvictionPlan {
     pub(crate) decisions: Vec<Decision>,
-    /// Where the next look goes on; none if it begins anew.
-    pub(crate) search: Option<RoomSearch>,
-    /// The ledger's count up to which looking again is of no use; none if workers are left to look at.
+    /// Where the next step continues; none if the search starts over.
+    pub(crate) search: Option<EvictionSearch>,
+    /// The change count until which another search is useless; none if workers are left to examine.
     pub(crate) stuck_at: Option<u64>,
 }
 
 impl Planner {
-    /// Stops tasks until room is being made for `wanted` tasks of `spec`, each time on the worker
-    /// where the least has to stop.
-    pub(crate) fn make_room(
+    /// Plans evictions until enough capacity is being freed for `wanted` tasks of `spec`, each time
+    /// on the worker where the least work has to stop.
+    pub(crate) fn plan_evictions(
         &mut self,
         spec: &JobSpec,
         wanted: usize,
-        search: Option<RoomSearch>,
-    ) -> RoomMade {
-        let freed = self.ledger.freed();
-        let mut made = RoomMade { decisions: Vec::new(), search, stuck_at: Some(freed) };
-        let under_way = self.rooms_under_way(spec);
-        let wanted = wanted.min(MAX_ROOMS);
-        if self.policy.baseline.is_some() || under_way >= wanted {
-            return made;
+        search: Option<EvictionSearch>,
+    ) -> EvictionPlan {
+        let change_count = self.ledger.change_count();
+        let mut plan = EvictionPlan { decisions: Vec::new(), search, stuck_at: Some(change_count) };
+        let pending = self.tasks_fitting_after_evictions(spec);
+        let wanted = wanted.min(MAX_TASKS_FREED_FOR);
+        if self.policy.baseline.is_some() || pending >= wanted {
+            return plan;
         }
-        let search = search.unwrap_or(RoomSearch { behind: None, begun_at: freed });
+        let search = search.unwrap_or(EvictionSearch { after: None, started_at: change_count });
         let window = self.window(&search);
-        for _ in under_way..wanted {
+        for _ in pending..wanted {
             let Some((worker, victims)) = self.cheapest_victims(spec, &window) else {
-                made.search = search.behind_window(&window);
-                made.stuck_at = made.search.is_none().then_some(search.begun_at);
+                plan.search = search.after_window(&window);
+                plan.stuck_at = plan.search.is_none().then_some(search.started_at);
                 break;
             };
             self.evicting.extend(victims.iter().cloned());
-            made.decisions.extend(victims.into_iter().map(|task| Decision::Evict { task, worker }));
+            plan.decisions.extend(victims.into_iter().map(|task| Decision::Evict { task, worker }));
         }
-        made
+        plan
     }
 
-    /// Gives the open workers that the search looks at next.
-    fn window(&self, search: &RoomSearch) -> Vec<WorkerIndex> {
-        let from = search.behind.map_or(Bound::Unbounded, Bound::Excluded);
-        let behind = self.by_worker.range((from, Bound::Unbounded)).map(|(&ix, _)| ix);
-        behind.filter(|&ix| self.ledger.is_open(ix)).take(WINDOW).collect()
+    /// Returns the open workers that the search examines next.
+    fn window(&self, search: &EvictionSearch) -> Vec<WorkerIndex> {
+        let from = search.after.map_or(Bound::Unbounded, Bound::Excluded);
+        let after = self.by_worker.range((from, Bound::Unbounded)).map(|(&ix, _)| ix);
+        after.filter(|&ix| self.ledger.is_open(ix)).take(MAX_WORKERS_EXAMINED).collect()
     }
 
     fn cheapest_victims(
@@ -86,18 +88,18 @@
         best.map(|(_, worker, victims)| (worker, victims))
     }
 
-    /// Gives for how many tasks of `spec` what is stopping will make room.
-    fn rooms_under_way(&self, spec: &JobSpec) -> usize {
-        let mut rooms: BTreeMap<WorkerIndex, Size> = BTreeMap::new();
+    /// Returns how many tasks of `spec` fit once the pending evictions have completed.
+    fn tasks_fitting_after_evictions(&self, spec: &JobSpec) -> usize {
+        let mut free_by_worker: BTreeMap<WorkerIndex, Size> = BTreeMap::new();
         for placed in self.evicting.iter().filter_map(|t| self.placed.get(t)) {
             let ix = placed.worker;
-            let room = rooms.entry(ix).or_insert_with(|| self.ledger.free(ix));
-            *room = room.plus(&placed.spec.size);
+            let free = free_by_worker.entry(ix).or_insert_with(|| self.ledger.free(ix));
+            *free = free.plus(&placed.spec.size);
         }
-        rooms.values().map(|room| spec.size.copies_in(room) as usize).sum()
+        free_by_worker.values().map(|free| spec.size.copies_in(free) as usize).sum()
     }
 
-    /// Gives the fewest tasks to stop on a worker so that `size` fits, and what they weigh.
+    /// Returns the tasks to stop on a worker so that `size` fits, and the cost of stopping them.
     fn victims(&self, ix: WorkerIndex, size: &Size) -> Option<(u64, Vec<TaskId>)> {
         let mut free = self.ledger.free(ix);
         let mut candidates: Vec<(bool, u64, &TaskId, Size)> = Vec::new();
@@ -105,7 +107,8 @@
             let Some(p) = self.placed.get(task) else { continue };
             if is_evictable(&p.spec) && !self.evicting.contains(task) {
                 let bulk = p.spec.class == Class::Bulk;
-                // Bulk first, then the latest started, which loses the least.
+                // Bulk work is stopped first, then the most recently started, which loses the least
+                // work.
                 candidates.push((!bulk, u64::MAX - p.since.0, task, p.spec.size));
             }
         }
@@ -124,15 +127,16 @@
     }
 }
 
-impl RoomSearch {
-    /// Gives the search behind `window`, unless no worker is left there.
-    fn behind_window(self, window: &[WorkerIndex]) -> Option<RoomSearch> {
-        let last = window.last().copied().filter(|_| window.len() == WINDOW);
-        last.map(|ix| RoomSearch { behind: Some(ix), ..self })
+impl EvictionSearch {
+    /// Returns the search that continues after `window`, unless no workers are left there.
+    fn after_window(self, window: &[WorkerIndex]) -> Option<EvictionSearch> {
+        let last = window.last().copied().filter(|_| window.len() == MAX_WORKERS_EXAMINED);
+        last.map(|ix| EvictionSearch { after: Some(ix), ..self })
     }
 }
 
-/// Only repeatable batch work below the urgent class is stopped; a gang would lose all its tasks.
+/// Returns whether a task may be evicted: only repeatable batch work below the urgent class. A gang
+/// would lose the work of all its tasks.
 fn is_evictable(spec: &JobSpec) -> bool {
     spec.kind == JobKind::Batch && spec.class != Class::Urgent && spec.repeatable
 }
--- a/components/placement/src/reservation.rs
+++ b/components/placement/src/reservation.rs
@@ -1,4 +1,4 @@
-//! What a gang that found no room holds until it does.
+//! The reservation of a gang that does not fit yet.
 
 use std::collections::BTreeSet;
 
@@ -7,14 +7,14 @@
 
 use crate::worker::WorkerIndex;
 
-/// The workers that a gang waits for.
+/// The workers that are reserved for a gang.
 #[derive(Clone, Debug)]
 pub(crate) struct Reservation {
     pub(crate) job: JobName,
     pub(crate) workers: BTreeSet<WorkerIndex>,
     pub(crate) starts_by: Millis,
-    /// Since when room has been kept for the gang.
+    /// The time since which workers have been reserved for the gang.
     pub(crate) since: Millis,
-    /// When this was worked out.
-    pub(crate) made_at: Millis,
+    /// When the reservation was last computed.
+    pub(crate) computed_at: Millis,
 }
--- a/components/placement/src/search.rs
+++ b/components/placement/src/search.rs
@@ -1,4 +1,4 @@
-//! Finding the worker for one task.
+//! Selects the worker for a task.
 
 use std::collections::BTreeMap;
 
@@ -8,46 +8,46 @@
 use crate::ledger::Ledger;
 use crate::worker::WorkerIndex;
 
-/// Which of the workers that fit is taken.
+/// The preference among the workers that fit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Preference {
-    /// The one with the least free, so that large rooms stay whole.
+    /// The worker with the least free capacity, so that large free capacities are preserved.
     LeastFree,
-    /// The one with the most free, so that neighbours disturb each other least.
+    /// The worker with the most free capacity, so that tasks interfere with each other least.
     MostFree,
 }
 
-/// How many tasks of one job stand on each rack and worker.
+/// The number of tasks of one job on each rack and worker.
 #[derive(Clone, Debug, Default)]
 pub struct SpreadCounts {
     racks: BTreeMap<Name, u32>,
     workers: BTreeMap<WorkerIndex, u32>,
 }
 
-/// What a job has that has no task anywhere.
+/// The counts of a job without any placed tasks.
 pub(crate) static NO_TASKS: SpreadCounts =
     SpreadCounts { racks: BTreeMap::new(), workers: BTreeMap::new() };
 
 impl SpreadCounts {
-    /// Counts a task.
+    /// Adds a task to the counts.
     pub fn add(&mut self, rack: &Name, worker: WorkerIndex) {
         *self.racks.entry(rack.clone()).or_default() += 1;
         *self.workers.entry(worker).or_default() += 1;
     }
 
-    /// Counts a task out.
+    /// Removes a task from the counts.
     pub fn remove(&mut self, rack: &Name, worker: WorkerIndex) {
-        lower(&mut self.racks, rack);
-        lower(&mut self.workers, &worker);
+        decrement(&mut self.racks, rack);
+        decrement(&mut self.workers, &worker);
     }
 
-    pub(crate) fn crowd(&self, rack: &Name, worker: WorkerIndex) -> (u32, u32) {
+    pub(crate) fn tasks_near(&self, rack: &Name, worker: WorkerIndex) -> (u32, u32) {
         let on_rack = self.racks.get(rack).copied().unwrap_or(0);
         (on_rack, self.workers.get(&worker).copied().unwrap_or(0))
     }
 }
 
-fn lower<K: Ord>(counts: &mut BTreeMap<K, u32>, key: &K) {
+fn decrement<K: Ord>(counts: &mut BTreeMap<K, u32>, key: &K) {
     if let Some(n) = counts.get_mut(key) {
         *n = n.saturating_sub(1);
         if *n == 0 {
@@ -56,58 +56,60 @@
     }
 }
 
-/// What is asked of the ledger.
+/// A request to select a worker for one task.
 pub struct PlacementRequest<'a> {
-    /// What the task takes.
+    /// The capacity that the task needs.
     pub size: Size,
-    /// Which worker is taken among those that fit.
+    /// The preference among the workers that fit.
     pub preference: Preference,
-    /// Where the job's other tasks stand, if it is to be spread.
+    /// The placement of the job's other tasks, if it is to be spread.
     pub spread: Option<&'a SpreadCounts>,
-    /// Workers that are out of the question for this task.
+    /// Returns whether a worker is excluded for this task.
     pub skip: &'a dyn Fn(WorkerIndex) -> bool,
 }
 
 impl Ledger {
-    /// Finds the worker for one task: of those that fit and are not skipped, for a spread job the
-    /// one with the fewest of its tasks on its rack, then on itself; then by preference; then the
-    /// lowest number.
-    pub fn select_worker(&self, ask: &PlacementRequest<'_>) -> Option<WorkerIndex> {
-        let fits = |ix: WorkerIndex| ask.size.fits(&self.free(ix)) && !(ask.skip)(ix);
-        let Some(counts) = ask.spread else {
-            return self.by_preference(ask, &fits);
+    /// Selects the worker for one task. Of the workers that fit and are not skipped, a job that is
+    /// to be spread prefers the one with the fewest of its tasks on the rack, then on the worker
+    /// itself; ties are broken by the preference, then by the lowest index.
+    pub fn select_worker(&self, request: &PlacementRequest<'_>) -> Option<WorkerIndex> {
+        let fits = |ix: WorkerIndex| request.size.fits(&self.free(ix)) && !(request.skip)(ix);
+        let Some(counts) = request.spread else {
+            return self.by_preference(request, &fits);
         };
-        // A worker without any of the job's tasks near it cannot be beaten.
-        let alone = |ix: WorkerIndex| counts.crowd(&self.info(ix).rack, ix) == (0, 0) && fits(ix);
-        self.by_preference(ask, &alone).or_else(|| self.least_crowded(ask, counts, &fits))
+        // A worker on whose rack the job has no tasks is optimal, so the index can find it by
+        // preference.
+        let alone =
+            |ix: WorkerIndex| counts.tasks_near(&self.info(ix).rack, ix) == (0, 0) && fits(ix);
+        self.by_preference(request, &alone).or_else(|| self.least_near(request, counts, &fits))
     }
 
     fn by_preference(
         &self,
-        ask: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         accepts: &dyn Fn(WorkerIndex) -> bool,
     ) -> Option<WorkerIndex> {
-        match ask.preference {
-            Preference::LeastFree => self.index().lightest(&ask.size, accepts),
-            Preference::MostFree => self.index().heaviest(&ask.size, accepts),
+        match request.preference {
+            Preference::LeastFree => self.index().lightest(&request.size, accepts),
+            Preference::MostFree => self.index().heaviest(&request.size, accepts),
         }
     }
 
-    fn least_crowded(
+    fn least_near(
         &self,
-        ask: &PlacementRequest<'_>,
+        request: &PlacementRequest<'_>,
         counts: &SpreadCounts,
         fits: &dyn Fn(WorkerIndex) -> bool,
     ) -> Option<WorkerIndex> {
         let open = self.workers().filter(|&ix| self.is_open(ix) && fits(ix));
         open.min_by_key(|&ix| {
-            let crowd = counts.crowd(&self.info(ix).rack, ix);
-            (crowd, preference_key(ask.preference, &self.free(ix)), ix)
+            let tasks_near = counts.tasks_near(&self.info(ix).rack, ix);
+            (tasks_near, preference_key(request.preference, &self.free(ix)), ix)
         })
     }
 }
 
-/// Gives a key that is smallest for the preferred worker.
+/// Returns a sort key that is smallest for the preferred worker.
 pub(crate) fn preference_key(preference: Preference, free: &Size) -> u64 {
     match preference {
         Preference::LeastFree => weight(free),
--- a/components/placement/src/waiting_tasks.rs
+++ b/components/placement/src/waiting_tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks that wait, by class and organisation.
+//! The waiting tasks, by class and organisation.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -6,39 +6,39 @@
 use clock::Millis;
 use model::{Class, JobName, JobSpec, Name};
 
-use crate::organisation_queue::{Line, Walk};
-use crate::preempt::RoomSearch;
+use crate::organisation_queue::{Cursor, OrganisationQueue};
+use crate::preempt::EvictionSearch;
 
 /// The waiting tasks of one job.
 #[derive(Clone, Debug)]
 pub struct WaitingJob {
-    /// The job.
+    /// The specification of the job.
     pub spec: Arc<JobSpec>,
-    /// The version that created the job; told to the workers with each task.
+    /// The version at which the job was created. It is sent to workers with each task.
     pub generation: u64,
-    /// The numbers of the tasks that wait.
+    /// The indexes of the waiting tasks.
     pub waiting: BTreeSet<u32>,
-    /// Since when the job waits.
+    /// The time since which the job has been waiting.
     pub since: Millis,
-    /// The order in which bundles came.
+    /// The position in the order of arrival.
     pub(crate) order: u64,
-    /// The ledger's count of freed room when the job last found none.
+    /// The ledger's change count when the job last failed to fit.
     pub(crate) stuck_at: Option<u64>,
-    /// The search for workers on which to make room for the job, while it is under way.
-    pub(crate) room_search: Option<RoomSearch>,
+    /// The search for workers on which to free capacity for the job, while it is in progress.
+    pub(crate) eviction_search: Option<EvictionSearch>,
 }
 
-/// All bundles: by class, then organisation, then age.
+/// All waiting jobs: by class, then organisation, then age.
 #[derive(Clone, Debug, Default)]
 pub struct WaitingTasks {
-    bundles: BTreeMap<JobName, WaitingJob>,
-    lines: BTreeMap<Class, BTreeMap<Name, Line>>,
+    jobs: BTreeMap<JobName, WaitingJob>,
+    queues: BTreeMap<Class, BTreeMap<Name, OrganisationQueue>>,
     next_order: u64,
     waiting: usize,
 }
 
 impl WaitingTasks {
-    /// Adds tasks of a job, behind what its organisation has waiting already.
+    /// Adds tasks of a job, behind the other waiting jobs of its organisation.
     pub fn add(
         &mut self,
         now: Millis,
@@ -47,26 +47,26 @@
         tasks: impl IntoIterator<Item = u32>,
     ) {
         let order = self.next_order;
-        let bundle = self.bundles.entry(spec.name.clone()).or_insert_with(|| WaitingJob {
+        let waiting_job = self.jobs.entry(spec.name.clone()).or_insert_with(|| WaitingJob {
             spec: spec.clone(),
             generation,
             waiting: BTreeSet::new(),
             since: now,
             order,
             stuck_at: None,
-            room_search: None,
+            eviction_search: None,
         });
-        let before = bundle.waiting.len();
-        bundle.waiting.extend(tasks);
-        bundle.stuck_at = None;
-        self.waiting += bundle.waiting.len() - before;
-        if bundle.waiting.is_empty() {
-            self.bundles.remove(&spec.name);
+        let before = waiting_job.waiting.len();
+        waiting_job.waiting.extend(tasks);
+        waiting_job.stuck_at = None;
+        self.waiting += waiting_job.waiting.len() - before;
+        if waiting_job.waiting.is_empty() {
+            self.jobs.remove(&spec.name);
             return;
         }
-        if bundle.order == order {
+        if waiting_job.order == order {
             self.next_order += 1;
-            let organisations = self.lines.entry(spec.class).or_default();
+            let organisations = self.queues.entry(spec.class).or_default();
             organisations
                 .entry(spec.organisation.clone())
                 .or_default()
@@ -74,82 +74,83 @@
         }
     }
 
-    /// Takes one task out because it starts.
+    /// Removes one task because it starts.
     pub fn take(&mut self, job: &JobName, index: u32) {
-        let Some(bundle) = self.bundles.get_mut(job) else { return };
-        if bundle.waiting.remove(&index) {
+        let Some(waiting_job) = self.jobs.get_mut(job) else { return };
+        if waiting_job.waiting.remove(&index) {
             self.waiting -= 1;
         }
-        if bundle.waiting.is_empty() {
+        if waiting_job.waiting.is_empty() {
             self.remove(job);
         }
     }
 
-    /// Takes all of a job's waiting tasks out, in one step however many there are.
+    /// Removes all of a job's waiting tasks, in one step however many there are.
     pub fn remove(&mut self, job: &JobName) -> Option<WaitingJob> {
-        let bundle = self.bundles.remove(job)?;
-        self.waiting -= bundle.waiting.len();
-        if let Some(organisations) = self.lines.get_mut(&bundle.spec.class)
-            && let Some(line) = organisations.get_mut(&bundle.spec.organisation)
+        let waiting_job = self.jobs.remove(job)?;
+        self.waiting -= waiting_job.waiting.len();
+        if let Some(organisations) = self.queues.get_mut(&waiting_job.spec.class)
+            && let Some(queue) = organisations.get_mut(&waiting_job.spec.organisation)
         {
-            line.remove(bundle.order);
-            if line.is_empty() {
-                organisations.remove(&bundle.spec.organisation);
+            queue.remove(waiting_job.order);
+            if queue.is_empty() {
+                organisations.remove(&waiting_job.spec.organisation);
             }
         }
-        Some(bundle)
+        Some(waiting_job)
     }
 
-    /// Gives a job's bundle.
+    /// Returns a waiting job by name.
     pub fn get(&self, job: &JobName) -> Option<&WaitingJob> {
-        self.bundles.get(job)
+        self.jobs.get(job)
     }
 
     pub(crate) fn get_mut(&mut self, job: &JobName) -> Option<&mut WaitingJob> {
-        self.bundles.get_mut(job)
+        self.jobs.get_mut(job)
     }
 
-    /// Gives all bundles by job name.
+    /// Returns all waiting jobs, by name.
     pub fn iter(&self) -> impl Iterator<Item = &WaitingJob> {
-        self.bundles.values()
+        self.jobs.values()
     }
 
-    /// Gives how many tasks wait.
+    /// Returns the number of waiting tasks.
     pub fn len(&self) -> usize {
         self.waiting
     }
 
-    /// Tells whether no task waits.
+    /// Returns whether no task waits.
     pub fn is_empty(&self) -> bool {
         self.waiting == 0
     }
 
     pub(crate) fn organisations(&self, class: Class) -> impl Iterator<Item = &Name> {
-        self.lines.get(&class).into_iter().flat_map(|organisations| organisations.keys())
+        self.queues.get(&class).into_iter().flat_map(|organisations| organisations.keys())
     }
 
-    /// Gives the job that a round tries next in an organisation's line.
-    pub(crate) fn next_in_line(
+    /// Returns the next job of an organisation for a round to try.
+    pub(crate) fn next_candidate(
         &self,
         class: Class,
         organisation: &Name,
-        walk: &Walk,
+        cursor: &Cursor,
     ) -> Option<&WaitingJob> {
-        let job = self.lines.get(&class)?.get(organisation)?.next(walk)?;
-        self.bundles.get(job)
+        let job = self.queues.get(&class)?.get(organisation)?.next(cursor)?;
+        self.jobs.get(job)
     }
 
-    /// Notes that a round of a lap passes over a job that cannot start now.
-    pub(crate) fn pass_over(&mut self, job: &JobName, walk: &mut Walk, lap: u64) {
-        let Some(bundle) = self.bundles.get(job) else { return };
-        let organisations = self.lines.get_mut(&bundle.spec.class);
-        if let Some(line) = organisations.and_then(|t| t.get_mut(&bundle.spec.organisation)) {
-            line.pass_over(bundle.order, walk, lap);
+    /// Records that a round of a pass skips a job that cannot start now.
+    pub(crate) fn skip_job(&mut self, job: &JobName, cursor: &mut Cursor, pass: u64) {
+        let Some(waiting_job) = self.jobs.get(job) else { return };
+        let organisations = self.queues.get_mut(&waiting_job.spec.class);
+        if let Some(queue) = organisations.and_then(|t| t.get_mut(&waiting_job.spec.organisation)) {
+            queue.skip_job(waiting_job.order, cursor, pass);
         }
     }
 
-    /// Tells whether the lap tried every job, after a round that went as far as it may.
-    pub(crate) fn is_tried(&self) -> bool {
-        self.lines.values().flat_map(BTreeMap::values).all(Line::is_tried)
+    /// Returns whether the pass has tried every job. Valid after a round that went as far as it
+    /// may.
+    pub(crate) fn is_pass_complete(&self) -> bool {
+        self.queues.values().flat_map(BTreeMap::values).all(OrganisationQueue::is_pass_complete)
     }
 }
--- a/components/placement/src/worker.rs
+++ b/components/placement/src/worker.rs
@@ -1,18 +1,18 @@
-//! A worker as placement knows it: its number, and what the platform tells of it.
+//! A worker as the placement code sees it: its index and what the platform reports about it.
 
 use model::{Name, Size};
 
-/// A worker's place in the ledger.
+/// The index of a worker in the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerIndex(pub u32);
 
-/// What the platform tells of a worker.
+/// The properties of a worker that the platform reports.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerInfo {
     /// Its name.
     pub name: Name,
     /// Its rack.
     pub rack: Name,
-    /// What it has.
+    /// Its total capacity.
     pub total: Size,
 }
--- a/components/placement/tests/differential.rs
+++ b/components/placement/tests/differential.rs
@@ -1,4 +1,4 @@
-//! The indexed search takes the same decisions as a plain one, and the planner keeps its rules.
+//! The indexed search makes the same choices as a full scan, and the planner follows its policy.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -32,8 +32,9 @@
     }
 }
 
-/// Random reservations, releases, openings and closings; each search is made both ways.
-fn same_decisions(seed: u64, preference: Preference, spread: bool) {
+/// Applies random reservations, releases, openings and closings, and makes each search both with
+/// the index and by a full scan.
+fn check_same_choices(seed: u64, preference: Preference, spread: bool) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut ledger = Ledger::default();
     for i in 0..60 {
@@ -50,14 +51,14 @@
                 let size = size(&mut rng);
                 let skipped = WorkerIndex(rng.random_range(0..60));
                 let skip = move |ix: WorkerIndex| ix == skipped;
-                let ask = PlacementRequest {
+                let request = PlacementRequest {
                     size,
                     preference,
                     spread: spread.then_some(&counts),
                     skip: &skip,
                 };
-                let indexed = ledger.select_worker(&ask);
-                assert_eq!(indexed, select_worker_by_scan(&ledger, &ask), "size {size}");
+                let indexed = ledger.select_worker(&request);
+                assert_eq!(indexed, select_worker_by_scan(&ledger, &request), "size {size}");
                 if let Some(ix) = indexed {
                     found += 1;
                     assert!(ledger.reserve(ix, &size));
@@ -77,14 +78,14 @@
             }
         }
     }
-    assert!(found > STEPS / 10, "only {found} searches found room");
+    assert!(found > STEPS / 10, "only {found} searches found a worker");
 }
 
 macro_rules! same {
     ($($name:ident: $seed:expr, $preference:ident, $spread:expr;)*) => {$(
         #[test]
         fn $name() {
-            same_decisions($seed, Preference::$preference, $spread);
+            check_same_choices($seed, Preference::$preference, $spread);
         }
     )*};
 }
@@ -111,7 +112,7 @@
     ] {
         assert_eq!(ledger.reserve(ix, &size), fits, "{size}");
     }
-    // What an earlier allocator gave out too much has to come back before anything is free.
+    // Capacity that an earlier allocator overcommitted has to be released before any is free.
     ledger.reserve_running(ix, &Size::new(1_000, 0, 0));
     ledger.release(ix, &Size::new(1_000, 0, 0));
     assert_eq!(ledger.free(ix), Size::ZERO);
@@ -178,7 +179,8 @@
     p.plan(Millis(0), 100);
     submit(&mut p, 1, spec("gang", JobKind::Gang, 2, 4_000));
     p.plan(Millis(1), 100);
-    // The gang waits for the first job's end at 10,000. Work that ends by then may go before it.
+    // The gang waits until the first job ends at 10,000 ms. Work that ends by then may start before
+    // it.
     let mut short = spec("short", JobKind::Batch, 1, 2_000);
     short.run_time = Millis(5_000);
     submit(&mut p, 2, short);
@@ -207,7 +209,7 @@
         })
         .collect();
     assert_eq!(evicted.len(), 2, "no more than needed: {decisions:?}");
-    assert!(p.plan(Millis(2), 100).is_empty(), "room is being made already");
+    assert!(p.plan(Millis(2), 100).is_empty(), "capacity is being freed already");
     evicted.iter().for_each(|t| {
         p.release(t);
     });
@@ -282,7 +284,11 @@
     assert_eq!(p.estimator.expected(&job), Millis(100_000));
     let mut sibling = spec("sibling", JobKind::Batch, 1, 1_000);
     sibling.organisation = "job".into();
-    assert_eq!(p.estimator.expected(&sibling), Millis(100_000), "an organisation's jobs are alike");
+    assert_eq!(
+        p.estimator.expected(&sibling),
+        Millis(100_000),
+        "an organisation's jobs share a ratio"
+    );
 }
 
 #[test]
--- a/components/placement/tests/starvation.rs
+++ b/components/placement/tests/starvation.rs
@@ -1,4 +1,4 @@
-//! What cannot start never keeps what is free from those behind it, however many it is.
+//! Jobs that cannot start, however many, never keep free capacity from the jobs behind them.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// How many decisions one plan may take here.
+/// The maximum number of decisions of a plan in these tests.
 const BUDGET: usize = 100;
 
 fn planner(workers: usize) -> Planner {
@@ -22,7 +22,7 @@
     planner
 }
 
-/// A job of one task, of the one organisation here.
+/// A job with one task. All jobs here belong to one organisation.
 fn spec(name: &str, kind: JobKind, cpu: u64) -> JobSpec {
     let run_time = Millis(10_000);
     JobSpec { run_time, ..JobSpec::new(name, "organisation", kind, 1, Size::new(cpu, 100, 0)) }
@@ -33,14 +33,15 @@
     planner.submit(Millis(0), &Arc::new(spec), 1, 0..tasks);
 }
 
-/// Gives after how many plans, of at most `most`, a task of `job` starts.
-fn plans_until_start(planner: &mut Planner, job: &str, most: u64) -> Option<u64> {
+/// Returns the number of plans after which a task of `job` starts, if it does within `max` plans.
+fn plans_until_start(planner: &mut Planner, job: &str, max: u64) -> Option<u64> {
     let starts =
         |d: &Decision| matches!(d, Decision::Start { task, .. } if task.job.as_str() == job);
-    (1..=most).find(|&n| planner.plan(Millis(n), BUDGET).iter().any(starts))
+    (1..=max).find(|&n| planner.plan(Millis(n), BUDGET).iter().any(starts))
 }
 
-/// Four workers with one core of four taken, and jobs for a whole worker before a small one.
+/// Four workers with one of four cores taken, and a small job behind `stuck` jobs that need a whole
+/// worker.
 fn small_job_behind(stuck: usize) -> Planner {
     let mut planner = planner(4);
     let workers: Vec<_> = planner.ledger.workers().collect();
@@ -54,7 +55,8 @@
     planner
 }
 
-/// A small job behind so many of its organisation's jobs that cannot start does so within so many plans.
+/// A small job behind many jobs of its organisation that cannot start still starts within a bounded
+/// number of plans.
 macro_rules! starts_behind {
     ($($name:ident: $stuck:expr => $plans:expr;)*) => {$(
         #[test]
@@ -97,15 +99,15 @@
     assert!(plans_until_start(&mut planner, "late", 10).is_some(), "not within 10 plans");
 }
 
-/// Gives after how many plans, of at most `most`, nothing is left to try.
-fn plans_until_settled(planner: &mut Planner, most: u64) -> Option<u64> {
-    (1..=most).find(|&n| {
+/// Returns the number of plans after which nothing is left to try, if that is at most `max`.
+fn plans_until_settled(planner: &mut Planner, max: u64) -> Option<u64> {
+    (1..=max).find(|&n| {
         planner.plan(Millis(n), BUDGET);
         planner.is_settled()
     })
 }
 
-/// Jobs that cannot start cost plans no more once each was tried, until something changes.
+/// Jobs that cannot start cause no more planning once each has been tried, until something changes.
 macro_rules! settles_behind {
     ($($name:ident: $stuck:expr => $plans:expr;)*) => {$(
         #[test]
@@ -157,8 +159,8 @@
     }
 }
 
-/// Random jobs that come, end and are withdrawn: whenever the planner settles, and it does in bounded time,
-/// no waiting task fits on any worker.
+/// Submits, ends and withdraws random jobs. The planner must settle within a bounded number of
+/// plans, and whenever it has settled no waiting task may fit on any worker.
 fn nothing_fits_once_settled(seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut p = small_job_behind(0);
@@ -196,23 +198,23 @@
     for i in 0..200 {
         submit_urgent(&mut planner, &format!("urgent{i}"), 2_000);
     }
-    let stopped = (1..=100).find_map(|now| stops_on(&mut planner, now));
+    let stopped = (1..=100).find_map(|now| evicts_on(&mut planner, now));
     assert_eq!(stopped, Some(3_000));
     assert!(plans_until_settled(&mut planner, 200).is_some(), "not within 200 plans");
 }
 
-/// What a worker runs that takes all of it.
+/// The work that occupies a whole worker.
 #[derive(Clone, Copy)]
 enum Runs {
-    /// A service, which is never stopped.
+    /// A service, which cannot be evicted.
     Service,
-    /// A service, and so little bulk work that stopping it makes too little room.
+    /// A service, and so little bulk work that evicting it frees too little capacity.
     LittleBulk,
     /// Bulk work.
     Bulk,
 }
 
-/// Lets `worker` run a task of `kind` that takes `cpu`.
+/// Makes `worker` run a task of `kind` with `cpu` thousandths of a core.
 fn run(planner: &mut Planner, worker: WorkerIndex, kind: JobKind, cpu: u64) {
     let name = format!("{kind:?} on {}", planner.ledger.info(worker).name);
     let class = if kind == JobKind::Batch { Class::Bulk } else { Class::Normal };
@@ -220,7 +222,8 @@
     planner.adopt(Millis(0), &Arc::new(spec), 1, 0, worker);
 }
 
-/// A fleet whose first `before` workers run what makes no room, and whose last one runs bulk work.
+/// A fleet whose first `before` workers run work whose eviction frees too little, and whose last
+/// worker runs bulk work.
 fn bulk_behind(before: usize, first: Runs) -> Planner {
     let mut planner = planner(before + 1);
     let workers: Vec<_> = planner.ledger.workers().collect();
@@ -241,8 +244,8 @@
     submit(planner, JobSpec { class: Class::Urgent, ..spec(name, JobKind::Batch, cpu) });
 }
 
-/// Gives the number of the worker on which the next plan stops something, if it does.
-fn stops_on(planner: &mut Planner, now: u64) -> Option<u32> {
+/// Returns the index of the worker on which the next plan evicts a task, if any.
+fn evicts_on(planner: &mut Planner, now: u64) -> Option<u32> {
     let decisions = planner.plan(Millis(now), BUDGET);
     decisions.iter().find_map(|d| match d {
         Decision::Evict { worker, .. } => Some(worker.0),
@@ -250,20 +253,21 @@
     })
 }
 
-/// Urgent work has room made for it within so many plans, however many workers before that have none.
-macro_rules! makes_room_behind {
+/// Capacity for urgent work is freed within a bounded number of plans, however many workers before
+/// the right one have nothing to evict.
+macro_rules! evicts_behind {
     ($($name:ident: $before:expr, $first:ident => $plans:expr;)*) => {$(
         #[test]
         fn $name() {
             let mut planner = bulk_behind($before, Runs::$first);
             submit_urgent(&mut planner, "urgent", 2_000);
-            let stopped = (1..=$plans).find_map(|now| stops_on(&mut planner, now));
+            let stopped = (1..=$plans).find_map(|now| evicts_on(&mut planner, now));
             assert_eq!(stopped, Some($before), "within {} plans", $plans);
         }
     )*};
 }
 
-makes_room_behind! {
+evicts_behind! {
     room_is_made_behind_511_workers_with_services_at_once: 511, Service => 1;
     room_is_made_behind_512_workers_with_services: 512, Service => 2;
     room_is_made_behind_3000_workers_with_services: 3_000, Service => 6;
@@ -277,9 +281,9 @@
     planner.ledger.set_open(last, false);
     submit_urgent(&mut planner, "first", 3_500);
     submit_urgent(&mut planner, "second", 2_000);
-    assert!((1..=10).all(|now| stops_on(&mut planner, now).is_none()));
+    assert!((1..=10).all(|now| evicts_on(&mut planner, now).is_none()));
     planner.ledger.set_open(last, true);
-    assert_eq!((11..=20).find_map(|now| stops_on(&mut planner, now)), Some(1_000));
+    assert_eq!((11..=20).find_map(|now| evicts_on(&mut planner, now)), Some(1_000));
 }
 
 #[test]
@@ -291,13 +295,14 @@
     planner.ledger.set_open(first, false);
     planner.ledger.set_open(last, false);
     submit_urgent(&mut planner, "urgent", 2_000);
-    assert_eq!(stops_on(&mut planner, 1), None);
+    assert_eq!(evicts_on(&mut planner, 1), None);
     planner.ledger.set_open(first, true);
-    assert_eq!((2..=8).find_map(|now| stops_on(&mut planner, now)), Some(0));
+    assert_eq!((2..=8).find_map(|now| evicts_on(&mut planner, now)), Some(0));
 }
 
-/// Nine workers stand empty; on the tenth a task runs that was to end after a second and never does. A gang waits for all ten.
-fn gang_behind_an_overrun() -> Planner {
+/// A gang waits for ten workers. Nine are empty; the tenth runs a task that was expected to end
+/// after one second and never does.
+fn gang_waiting_for_an_overrun() -> Planner {
     let mut planner = planner(10);
     submit(
         &mut planner,
@@ -309,7 +314,7 @@
     planner
 }
 
-/// Gives when a task starts that waits from 20 s on.
+/// Returns when `job` starts, in milliseconds, if it is submitted at 20 s.
 fn starts_at(planner: &mut Planner, job: JobSpec) -> Option<u64> {
     let name = job.name.clone();
     submit(planner, job);
@@ -319,12 +324,13 @@
         .find(|&now| planner.plan(Millis(now), BUDGET).iter().any(starts))
 }
 
-/// What a gang waits for may never come: others get the room that it keeps within a bounded time.
-macro_rules! gets_room_behind_a_gang {
+/// The task that a gang waits for may never end. Other work gets the reserved capacity within a
+/// bounded time.
+macro_rules! starts_beside_a_waiting_gang {
     ($($name:ident: $kind:ident, run $run:expr => by $by:expr;)*) => {$(
         #[test]
         fn $name() {
-            let mut planner = gang_behind_an_overrun();
+            let mut planner = gang_waiting_for_an_overrun();
             let job = spec("waits", JobKind::$kind, 1_000);
             let at = starts_at(&mut planner, JobSpec { run_time: Millis($run), ..job });
             println!("starts at {at:?} ms");
@@ -333,7 +339,7 @@
     )*};
 }
 
-gets_room_behind_a_gang! {
+starts_beside_a_waiting_gang! {
     a_short_task_gets_room_behind_a_gang: Batch, run 2_000 => by 141_000;
     a_long_task_gets_room_behind_a_gang: Batch, run 40_000 => by 141_000;
     a_service_gets_room_behind_a_gang: Service, run 0 => by 141_000;
