--- a/components/routing/src/budget.rs
+++ b/components/routing/src/budget.rs
@@ -1,39 +1,42 @@
-//! The retry budget: retries are paid for by successes, so that they never multiply a failure.
+//! The retry budget: successes pay for retries, so that retries do not multiply the load during a
+//! failure.
 
-/// What one success pays for one percent of retries, in units; a retry costs [`RETRY_COST`].
+/// The cost of a retry, in units. A success earns one unit for each percent of allowed retries.
 const RETRY_COST: u64 = 100;
-/// The most retries that can be saved up.
-const MOST_SAVED: u64 = 20;
+/// The maximum number of retries that can be saved up. It limits the burst of retries when
+/// upstreams begin to fail.
+const MAX_SAVED_RETRIES: u64 = 20;
 
-/// Retries allowed as a share of recent successes.
+/// A budget of retries, as a share of recent successes.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     percent: u64,
-    saved: u64,
+    balance: u64,
 }
 
 impl RetryBudget {
-    /// Allows `percent` retries for each hundred successes, and a few to begin with.
+    /// Creates a budget that allows `percent` retries for each hundred successes, and a few to
+    /// begin with.
     pub fn new(percent: u32) -> RetryBudget {
-        RetryBudget { percent: u64::from(percent), saved: MOST_SAVED * RETRY_COST / 2 }
+        RetryBudget { percent: u64::from(percent), balance: MAX_SAVED_RETRIES * RETRY_COST / 2 }
     }
 
-    /// Changes the share and keeps what is saved.
+    /// Changes the percentage and keeps the balance.
     pub fn set_percent(&mut self, percent: u32) {
         self.percent = u64::from(percent);
     }
 
-    /// Notes a success.
+    /// Records a success.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + self.percent).min(MOST_SAVED * RETRY_COST);
+        self.balance = (self.balance + self.percent).min(MAX_SAVED_RETRIES * RETRY_COST);
     }
 
-    /// Pays for a retry; gives false if there is nothing to pay with.
+    /// Pays for a retry. Returns false if the balance is too low.
     pub fn spend(&mut self) -> bool {
-        if self.percent == 0 || self.saved < RETRY_COST {
+        if self.percent == 0 || self.balance < RETRY_COST {
             return false;
         }
-        self.saved -= RETRY_COST;
+        self.balance -= RETRY_COST;
         true
     }
 }
--- a/components/routing/src/lib.rs
+++ b/components/routing/src/lib.rs
@@ -1,8 +1,8 @@
-//! Where a caller's request goes, whether it waits, and when it is refused.
+//! Routing of callers' requests: where a request is sent, whether it waits, and when it is refused.
 //!
-//! [`Router`] is pure: arrivals, ends and time go in, dispatches and refusals come out. Several
-//! instances send to one upstream without seeing each other; docs/design/requests.md says how their
-//! shares add up to no more than its limit.
+//! [`Router`] is pure: it maps arrivals, outcomes and time to dispatches and refusals. Several
+//! instances send to an upstream without coordinating on each request; docs/design/requests.md
+//! describes why their shares never add up to more than the upstream's limit.
 
 mod broker;
 mod budget;
--- a/components/routing/src/queue.rs
+++ b/components/routing/src/queue.rs
@@ -1,4 +1,4 @@
-//! The requests that wait in an instance, by class.
+//! The queue of requests that wait in an instance, by class.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,76 +7,80 @@
 
 use crate::request::RequestInfo;
 
-/// A request that waits.
+/// A request in the queue.
 #[derive(Clone, Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct WaitingRequest {
     pub(crate) info: RequestInfo,
     pub(crate) since: Millis,
 }
 
-/// Where a request stands in the queue.
+/// The position of a request in the queue.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Spot {
+pub(crate) struct Position {
     class: Class,
-    place: usize,
+    index: usize,
 }
 
-/// First come, first served within each class; the more urgent class first.
+/// The queue: the more urgent class first, and first come, first served within each class.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WaitQueue {
-    lines: BTreeMap<Class, VecDeque<Waiting>>,
+    queues: BTreeMap<Class, VecDeque<WaitingRequest>>,
 }
 
 impl WaitQueue {
     pub(crate) fn push(&mut self, now: Millis, info: RequestInfo) {
-        self.lines.entry(info.class).or_default().push_back(Waiting { info, since: now });
+        self.queues.entry(info.class).or_default().push_back(WaitingRequest { info, since: now });
     }
 
-    /// Gives where the first request stands that may go.
-    pub(crate) fn find(&self, may_go: impl Fn(&Waiting) -> bool) -> Option<Spot> {
-        self.lines.iter().find_map(|(&class, line)| {
-            let place = line.iter().position(&may_go)?;
-            Some(Spot { class, place })
+    /// Returns the position of the first request for which `may_go` holds.
+    pub(crate) fn find(&self, may_go: impl Fn(&WaitingRequest) -> bool) -> Option<Position> {
+        self.queues.iter().find_map(|(&class, queue)| {
+            let index = queue.iter().position(&may_go)?;
+            Some(Position { class, index })
         })
     }
 
-    pub(crate) fn get(&self, spot: Spot) -> Option<&Waiting> {
-        self.lines.get(&spot.class)?.get(spot.place)
+    pub(crate) fn get(&self, position: Position) -> Option<&WaitingRequest> {
+        self.queues.get(&position.class)?.get(position.index)
     }
 
-    pub(crate) fn remove(&mut self, spot: Spot) -> Option<Waiting> {
-        self.lines.get_mut(&spot.class)?.remove(spot.place)
+    pub(crate) fn remove(&mut self, position: Position) -> Option<WaitingRequest> {
+        self.queues.get_mut(&position.class)?.remove(position.index)
     }
 
-    /// Tells whether a newcomer may go to an upstream, and nobody who goes before it may.
-    pub(crate) fn leaves_to(&self, newcomer: &RequestInfo, upstream: &Name) -> bool {
-        let mut before = self.lines.range(..=newcomer.class).flat_map(|(_, line)| line);
+    /// Returns whether a new request may go to an upstream and no waiting request that precedes it
+    /// may.
+    pub(crate) fn is_first_for(&self, newcomer: &RequestInfo, upstream: &Name) -> bool {
+        let mut before = self.queues.range(..=newcomer.class).flat_map(|(_, queue)| queue);
         newcomer.may_go_to(upstream) && !before.any(|w| w.info.may_go_to(upstream))
     }
 
-    /// Gives how many wait that go before a newcomer of `class`.
+    /// Returns how many waiting requests precede a new one of `class`.
     pub(crate) fn ahead_of(&self, class: Class) -> usize {
-        self.lines.range(..=class).map(|(_, line)| line.len()).sum()
+        self.queues.range(..=class).map(|(_, queue)| queue.len()).sum()
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.lines.values().map(VecDeque::len).sum()
+        self.queues.values().map(VecDeque::len).sum()
     }
 
-    /// Takes out the newest request of the least urgent class below `class`.
-    pub(crate) fn shed_below(&mut self, class: Class) -> Option<Waiting> {
-        let mut lower = self.lines.iter_mut().rev().take_while(|(c, _)| **c > class);
-        lower.find_map(|(_, line)| line.pop_back())
+    /// Removes the newest request of the least urgent class below `class`.
+    pub(crate) fn shed_below(&mut self, class: Class) -> Option<WaitingRequest> {
+        let mut lower = self.queues.iter_mut().rev().take_while(|(c, _)| **c > class);
+        lower.find_map(|(_, queue)| queue.pop_back())
     }
 
-    /// Takes out every request for which `gone` holds.
-    pub(crate) fn take_out(&mut self, gone: impl Fn(&Waiting) -> bool) -> Vec<Waiting> {
+    /// Removes all requests for which `matches` holds.
+    pub(crate) fn remove_matching(
+        &mut self,
+        matches: impl Fn(&WaitingRequest) -> bool,
+    ) -> Vec<WaitingRequest> {
         let mut out = Vec::new();
-        for line in self.lines.values_mut() {
-            let all = std::mem::take(line);
-            let (leaving, staying): (Vec<Waiting>, Vec<Waiting>) =
-                all.into_iter().partition(|w| gone(w));
-            *line = staying.into();
+        for queue in self.queues.values_mut() {
+            let all = std::mem::take(queue);
+            let (leaving, staying): (Vec<WaitingRequest>, Vec<WaitingRequest>) =
+                all.into_iter().partition(|w| matches(w));
+            *queue = staying.into();
             out.extend(leaving);
         }
         out
--- a/components/routing/src/request.rs
+++ b/components/routing/src/request.rs
@@ -1,4 +1,4 @@
-//! A request, as the router and its queue know it.
+//! A request as the router and its queue see it.
 
 use std::collections::BTreeSet;
 
@@ -8,18 +8,19 @@
 /// A request as the router sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestInfo {
-    /// The router's own number for it.
+    /// The identifier of the request within the router.
     pub id: u64,
     /// Its class.
     pub class: Class,
-    /// When its answer is of no more use.
+    /// The time after which the caller no longer needs the answer.
     pub deadline: Millis,
-    /// Upstreams that it has been to.
+    /// The upstreams that it has already been sent to.
     pub tried: BTreeSet<Name>,
 }
 
 impl RequestInfo {
-    /// Tells whether it may go to an upstream: a retry never goes where it has been.
+    /// Returns whether the request may go to an upstream. A retry never goes to an upstream that it
+    /// has been sent to.
     pub(crate) fn may_go_to(&self, upstream: &Name) -> bool {
         !self.tried.contains(upstream)
     }
--- a/components/routing/src/router.rs
+++ b/components/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The router: admission, dispatch, shedding and retries.
+//! The router: admission, dispatch, load shedding and retries.
 
 use std::collections::BTreeMap;
 
@@ -9,47 +9,47 @@
 
 use crate::broker::{BorrowedSlots, Demand, UpstreamDemand};
 use crate::budget::RetryBudget;
-use crate::queue::{Spot, WaitQueue, Waiting};
+use crate::queue::{Position, WaitQueue, WaitingRequest};
 use crate::request::RequestInfo;
 use crate::slot_share::{SlotSharing, base_share};
-use crate::upstream::{MICROS, Target, TargetState};
+use crate::upstream::{MICROS_PER_MILLI, Target, TargetState};
 use crate::upstream_selection::{Candidate, SelectionPolicy};
 
-/// The part of the queue's limit that each class may see ahead of it, in percent.
-const CLASS_PERCENT: [(Class, u64); 3] =
+/// The fraction of the queue limit that the expected wait may reach for each class, in percent.
+const CLASS_QUEUE_PERCENT: [(Class, u64); 3] =
     [(Class::Urgent, 100), (Class::Normal, 60), (Class::Bulk, 25)];
-/// What a request is thought to take while nothing is known, in thousandths of a millisecond.
-const UNKNOWN_LATENCY: u64 = 10 * MICROS;
-/// The shortest time after which a refused caller is told to come back.
-const SHORTEST_RETRY_AFTER: Millis = Millis(50);
-/// How many slots beyond those in use an instance asks for.
+/// The assumed duration of a request until the first answers, in microseconds.
+const INITIAL_LATENCY: u64 = 10 * MICROS_PER_MILLI;
+/// The minimum time after which a refused caller is told to retry.
+const MIN_RETRY_AFTER: Millis = Millis(50);
+/// The number of free slots that an instance requests in advance, beyond those in use.
 const SLOTS_AHEAD: u32 = 2;
-/// After how long a caller is told to come back when no upstream is known.
+/// The time after which a caller is told to retry when no upstream is known.
 const NO_UPSTREAM_RETRY_AFTER: Millis = Millis(1_000);
 
-/// The rules a router follows.
+/// The settings of a router.
 #[derive(Clone, Debug)]
 pub struct RouterConfig {
     /// How the instances of a zone divide an upstream's slots.
     pub sharing: SlotSharing,
-    /// How an upstream is picked.
+    /// The policy by which an upstream is selected.
     pub selection: SelectionPolicy,
-    /// An upstream's slots, over all instances.
+    /// The slots of an upstream, over all instances.
     pub slots: u32,
-    /// The most instances a zone has.
+    /// The maximum number of instances in a zone.
     pub instances: u32,
-    /// The longest a request may wait here.
+    /// The maximum time that a request may wait in this instance.
     pub queue_limit: Millis,
-    /// Retries for each hundred successes.
+    /// The number of retries allowed for each hundred successes.
     pub retry_percent: u32,
 }
 
-/// What becomes of a request that arrives.
+/// The decision on a new request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Send it there now.
+    /// Send it to this upstream now.
     Send(Name),
-    /// It waits; its dispatch or refusal comes later.
+    /// It is queued; its dispatch or refusal follows later.
     Wait,
     /// It is refused.
     Refuse {
@@ -60,14 +60,14 @@
     },
 }
 
-/// What becomes of a request that waited.
+/// The decision on a queued request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Dispatch {
     /// Send it.
     Send {
         /// The request.
         id: u64,
-        /// Where to.
+        /// The upstream to send it to.
         upstream: Name,
         /// How long it waited.
         waited: Millis,
@@ -83,30 +83,30 @@
     },
 }
 
-/// How a request ended at an upstream.
+/// The outcome of a request at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// It was answered.
     Answered {
-        /// How long it took, in thousandths of a millisecond.
+        /// The duration of the request, in microseconds.
         micros: u64,
-        /// The load that the upstream told, if it did.
+        /// The load that the upstream reported, if it did.
         load: Option<u32>,
     },
-    /// The upstream said that it is full and did not run it.
+    /// The upstream reported that it is full, and did not run the request.
     Busy,
     /// The upstream failed.
     Failed,
-    /// The caller gave up, which says nothing about the upstream.
+    /// The caller abandoned the request, which says nothing about the upstream.
     Abandoned,
 }
 
-/// Routes the requests of one instance.
+/// The router of one instance.
 #[derive(Clone, Debug)]
 pub struct Router {
     cfg: RouterConfig,
     targets: Vec<Target>,
-    places: BTreeMap<Name, usize>,
+    indices: BTreeMap<Name, usize>,
     queue: WaitQueue,
     budget: RetryBudget,
     loans: BorrowedSlots,
@@ -115,34 +115,34 @@
 }
 
 impl Router {
-    /// Makes a router without upstreams, for a process whose number grows with each restart.
+    /// Creates a router without upstreams for a process whose number grows with each restart.
     pub fn new(cfg: RouterConfig, seed: u64, process: u64) -> Router {
         Router {
             budget: RetryBudget::new(cfg.retry_percent),
             cfg,
             targets: Vec::new(),
-            places: BTreeMap::new(),
+            indices: BTreeMap::new(),
             queue: WaitQueue::default(),
             loans: BorrowedSlots::new(process),
             rng: StdRng::seed_from_u64(seed),
-            latency: UNKNOWN_LATENCY,
+            latency: INITIAL_LATENCY,
         }
     }
 
-    /// Takes over changed rules.
+    /// Applies changed settings.
     pub fn configure(&mut self, cfg: RouterConfig) {
         self.budget.set_percent(cfg.retry_percent);
         self.cfg = cfg;
     }
 
-    /// Takes in which upstreams there are. One that is missing counts as leaving until its last
-    /// request has ended, and is then forgotten.
+    /// Replaces the list of upstreams. An upstream that is missing from it counts as leaving until
+    /// its last request has ended, and is then dropped.
     pub fn set_targets(&mut self, listed: &BTreeMap<Name, TargetState>) {
         for (name, state) in listed {
-            match self.places.get(name) {
-                Some(&place) => self.targets[place].state = *state,
+            match self.indices.get(name) {
+                Some(&index) => self.targets[index].state = *state,
                 None => {
-                    self.places.insert(name.clone(), self.targets.len());
+                    self.indices.insert(name.clone(), self.targets.len());
                     let mut target = Target::new(name.clone());
                     target.state = *state;
                     self.targets.push(target);
@@ -155,27 +155,27 @@
             }
         }
         self.targets.retain(|t| listed.contains_key(&t.name) || t.in_flight > 0);
-        self.places = self.targets.iter().enumerate().map(|(i, t)| (t.name.clone(), i)).collect();
+        self.indices = self.targets.iter().enumerate().map(|(i, t)| (t.name.clone(), i)).collect();
     }
 
-    /// Notes at once that an upstream is leaving, whatever the list says.
+    /// Marks an upstream as leaving immediately, whatever the list says.
     pub fn note_leaving(&mut self, name: &Name) {
-        if let Some(&place) = self.places.get(name) {
-            self.targets[place].state = TargetState::Leaving;
+        if let Some(&index) = self.indices.get(name) {
+            self.targets[index].state = TargetState::Leaving;
         }
     }
 
-    /// Gives the loan book.
+    /// Returns the borrowed slots.
     pub fn loans_mut(&mut self) -> &mut BorrowedSlots {
         &mut self.loans
     }
 
-    /// Gives the upstreams with the share that this instance has of each.
+    /// Returns the upstreams with this instance's share of each.
     pub fn targets(&self, now: Millis) -> impl Iterator<Item = (&Target, u32)> {
         self.targets.iter().map(move |t| (t, self.share(now, &t.name)))
     }
 
-    /// Gives how many requests wait.
+    /// Returns how many requests wait.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
@@ -188,14 +188,14 @@
         self.base() + self.loans.slots(now, name)
     }
 
-    /// Decides on a request that arrives.
+    /// Decides whether a new request is sent, queued or refused.
     pub fn admit(&mut self, now: Millis, info: RequestInfo) -> Admission {
         if now >= info.deadline {
-            let retry_after = SHORTEST_RETRY_AFTER;
+            let retry_after = MIN_RETRY_AFTER;
             return Admission::Refuse { reason: Refusal::DeadlinePassed, retry_after };
         }
-        if let Some(place) = self.choose(now, |queue, name| queue.leaves_to(&info, name)) {
-            return Admission::Send(self.start(place));
+        if let Some(index) = self.choose(now, |queue, name| queue.is_first_for(&info, name)) {
+            return Admission::Send(self.start(index));
         }
         self.wait_or_refuse(now, info)
     }
@@ -206,32 +206,33 @@
             return Admission::Refuse { reason: Refusal::NoUpstream, retry_after };
         }
         let wait = self.expected_wait(now, self.queue.ahead_of(info.class) + 1);
-        let percent = CLASS_PERCENT.iter().find(|(c, _)| *c == info.class).map_or(100, |(_, p)| *p);
+        let percent =
+            CLASS_QUEUE_PERCENT.iter().find(|(c, _)| *c == info.class).map_or(100, |(_, p)| *p);
         let limit = Millis(self.cfg.queue_limit.0 * percent / 100);
         if wait > limit {
-            let retry_after = wait.max(SHORTEST_RETRY_AFTER);
+            let retry_after = wait.max(MIN_RETRY_AFTER);
             return Admission::Refuse { reason: Refusal::Overloaded, retry_after };
         }
         if now + wait >= info.deadline {
-            let retry_after = wait.max(SHORTEST_RETRY_AFTER);
+            let retry_after = wait.max(MIN_RETRY_AFTER);
             return Admission::Refuse { reason: Refusal::DeadlinePassed, retry_after };
         }
         self.queue.push(now, info);
         Admission::Wait
     }
 
-    /// Gives how long the `n`th request in the queue can expect to wait.
+    /// Returns how long the `n`th request in the queue is expected to wait.
     fn expected_wait(&self, now: Millis, n: usize) -> Millis {
         let shares = self.targets(now).filter(|(t, _)| t.state == TargetState::Live);
         let slots: u64 = shares.map(|(_, share)| u64::from(share)).sum();
-        Millis(self.latency * n as u64 / slots.max(1) / MICROS)
+        Millis(self.latency * n as u64 / slots.max(1) / MICROS_PER_MILLI)
     }
 
-    /// Picks an upstream with room among those for which `may_go` holds.
+    /// Selects an upstream with free slots among those for which `may_go` holds.
     fn choose(&mut self, now: Millis, may_go: impl Fn(&WaitQueue, &Name) -> bool) -> Option<usize> {
         let (base, loans, queue) = (self.base(), &self.loans, &self.queue);
-        let candidates = self.targets.iter().enumerate().map(|(place, target)| Candidate {
-            place,
+        let candidates = self.targets.iter().enumerate().map(|(index, target)| Candidate {
+            index,
             target,
             share: base + loans.slots(now, &target.name),
         });
@@ -239,17 +240,18 @@
         self.cfg.selection.choose(now, &mut self.rng, allowed)
     }
 
-    fn start(&mut self, place: usize) -> Name {
-        let target = &mut self.targets[place];
+    fn start(&mut self, index: usize) -> Name {
+        let target = &mut self.targets[index];
         target.in_flight += 1;
         target.name.clone()
     }
 
-    /// Notes that a request ended at an upstream, and dispatches those that waited for room.
+    /// Records the end of a request at an upstream, and dispatches queued requests into the slots
+    /// that are free now.
     pub fn ended(&mut self, now: Millis, upstream: &Name, ending: RequestOutcome) -> Vec<Dispatch> {
         let share = self.share(now, upstream);
-        if let Some(&place) = self.places.get(upstream) {
-            let target = &mut self.targets[place];
+        if let Some(&index) = self.indices.get(upstream) {
+            let target = &mut self.targets[index];
             target.in_flight = target.in_flight.saturating_sub(1);
             match ending {
                 RequestOutcome::Answered { micros, load } => {
@@ -266,79 +268,81 @@
         self.dispatch(now)
     }
 
-    /// Lets time pass: refuses those that waited too long, and dispatches where there is room.
+    /// Refuses the requests that have waited too long, and dispatches others into free slots.
     pub fn tick(&mut self, now: Millis) -> Vec<Dispatch> {
         let limit = self.cfg.queue_limit;
-        let late = self.queue.take_out(|w| now >= w.info.deadline || now.since(w.since) > limit);
+        let late =
+            self.queue.remove_matching(|w| now >= w.info.deadline || now.since(w.since) > limit);
         let mut out: Vec<Dispatch> = late.iter().map(|w| self.refuse_late(now, w)).collect();
         out.extend(self.dispatch(now));
         out
     }
 
-    fn refuse_late(&self, now: Millis, w: &Waiting) -> Dispatch {
+    fn refuse_late(&self, now: Millis, w: &WaitingRequest) -> Dispatch {
         let reason = match now >= w.info.deadline {
             true => Refusal::DeadlinePassed,
             false => Refusal::Overloaded,
         };
         let wait = self.expected_wait(now, self.queue.len() + 1);
-        Dispatch::Refuse { id: w.info.id, reason, retry_after: wait.max(SHORTEST_RETRY_AFTER) }
+        Dispatch::Refuse { id: w.info.id, reason, retry_after: wait.max(MIN_RETRY_AFTER) }
     }
 
-    /// Has upstreams tried again soon that are left alone beyond half of those that take work. Where most
-    /// fail, the requests or a cause that all share are likelier at fault, and each request is to find an
-    /// upstream within the time that it may wait.
-    fn bound_left_alone(&mut self, now: Millis) {
+    /// Limits the ejected upstreams to half of the live ones by letting the others be tried again
+    /// soon. When most upstreams fail, the requests or a common cause are more likely at fault, and
+    /// each request has to find an upstream within the time that it may wait.
+    fn limit_ejections(&mut self, now: Millis) {
         let live = self.targets.iter().filter(|t| t.state == TargetState::Live).count();
         let targets = self.targets.iter_mut();
-        let mut alone: Vec<&mut Target> = targets.filter(|t| t.is_left_alone(now)).collect();
-        let beyond = alone.len().saturating_sub(live / 2);
-        alone.sort_by_key(|t| t.left_alone_until());
+        let mut ejected: Vec<&mut Target> = targets.filter(|t| t.is_ejected(now)).collect();
+        let beyond = ejected.len().saturating_sub(live / 2);
+        ejected.sort_by_key(|t| t.ejection_end());
         let soon = now + Millis(self.cfg.queue_limit.0 / 2);
-        alone.into_iter().take(beyond).for_each(|t| t.let_back_by(soon));
+        ejected.into_iter().take(beyond).for_each(|t| t.shorten_ejection(soon));
     }
 
     fn dispatch(&mut self, now: Millis) -> Vec<Dispatch> {
-        self.bound_left_alone(now);
+        self.limit_ejections(now);
         let mut out = Vec::new();
-        while let Some(spot) = self.first_to_send(now) {
+        while let Some(position) = self.first_to_send(now) {
             let may_go = |queue: &WaitQueue, name: &Name| {
-                queue.get(spot).is_some_and(|w| w.info.may_go_to(name))
+                queue.get(position).is_some_and(|w| w.info.may_go_to(name))
             };
-            let Some(place) = self.choose(now, may_go) else { break };
-            let Some(w) = self.queue.remove(spot) else { break };
-            let upstream = self.start(place);
+            let Some(index) = self.choose(now, may_go) else { break };
+            let Some(w) = self.queue.remove(position) else { break };
+            let upstream = self.start(index);
             out.push(Dispatch::Send { id: w.info.id, upstream, waited: now.since(w.since) });
         }
         out
     }
 
-    /// Gives the first request that may go where there is room. It passes over retries that may not:
-    /// else one that is barred from the only free upstream would keep all behind it waiting.
-    fn first_to_send(&self, now: Millis) -> Option<Spot> {
+    /// Returns the position of the first request that may go to an upstream with free slots. It
+    /// skips retries that may not: otherwise a retry that is barred from the only free upstream
+    /// would block all requests behind it.
+    fn first_to_send(&self, now: Millis) -> Option<Position> {
         if self.queue.len() == 0 {
             return None;
         }
-        let with_room = self.targets(now).filter(|(t, share)| t.room(now, *share) > 0);
-        let free: Vec<&Name> = with_room.map(|(t, _)| &t.name).collect();
+        let available = self.targets(now).filter(|(t, share)| t.free_slots(now, *share) > 0);
+        let free: Vec<&Name> = available.map(|(t, _)| &t.name).collect();
         if free.is_empty() {
             return None;
         }
         self.queue.find(|w| free.iter().any(|name| w.info.may_go_to(name)))
     }
 
-    /// Makes room in the queue for urgent work by refusing the newest request of a lower class.
+    /// Frees a place in the queue for urgent work by refusing the newest request of a lower class.
     pub fn shed_below(&mut self, now: Millis, class: Class) -> Option<Dispatch> {
         let w = self.queue.shed_below(class)?;
-        let retry_after = self.expected_wait(now, self.queue.len() + 1).max(SHORTEST_RETRY_AFTER);
+        let retry_after = self.expected_wait(now, self.queue.len() + 1).max(MIN_RETRY_AFTER);
         Some(Dispatch::Refuse { id: w.info.id, reason: Refusal::Overloaded, retry_after })
     }
 
-    /// Takes out a request whose caller has gone.
+    /// Removes a queued request whose caller has gone.
     pub fn cancel(&mut self, id: u64) {
-        self.queue.take_out(|w| w.info.id == id);
+        self.queue.remove_matching(|w| w.info.id == id);
     }
 
-    /// Decides whether a request may be tried once more, and pays for it.
+    /// Returns whether a request may be retried, and pays for the retry.
     pub fn may_retry(&mut self, now: Millis, info: &RequestInfo) -> bool {
         let untried = self
             .targets
@@ -347,22 +351,22 @@
         untried && now < info.deadline && self.budget.spend()
     }
 
-    /// Writes what to ask of the broker: what is in use beyond the instance's own part, and what is
-    /// wanted for the requests that wait.
+    /// Returns the demand to send to the broker: the slots in use beyond the instance's own share,
+    /// and those wanted for queued requests.
     pub fn demand(&mut self, now: Millis, epoch: Epoch, instance: &InstanceId) -> Demand {
         let base = self.base();
         let live = self.targets.iter().filter(|t| t.state == TargetState::Live).count().max(1);
         let queued = self.queue.len().div_ceil(live) as u32;
-        let wish = |t: &Target| {
+        let demand_for = |t: &Target| {
             let used = t.in_flight.saturating_sub(base);
-            // A loan takes a while to come, so that some are held before they are needed.
+            // A loan takes a while to arrive, so some slots are requested before they are needed.
             let ahead = (t.in_flight + SLOTS_AHEAD).saturating_sub(base);
             let live = t.state == TargetState::Live;
             let wanted = if live { ahead + queued } else { 0 };
             let held = self.loans.slots(now, &t.name);
             UpstreamDemand { upstream: t.name.clone(), used, held, wanted }
         };
-        let upstream_demands = self.targets.iter().map(wish).collect();
+        let upstream_demands = self.targets.iter().map(demand_for).collect();
         self.loans.demand(now, epoch, instance, upstream_demands)
     }
 }
--- a/components/routing/src/slot_share.rs
+++ b/components/routing/src/slot_share.rs
@@ -1,16 +1,17 @@
-//! How many of an upstream's slots one instance may use.
+//! The number of an upstream's slots that one instance may use.
 
 /// How the instances of a zone divide an upstream's slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlotSharing {
-    /// Each has an equal part for ever.
+    /// Each instance permanently has an equal share.
     Fixed,
-    /// Each has half of its equal part for ever; the rest is lent for short times to those who
-    /// need it, by the zone's allocator.
+    /// Each instance permanently has half of its equal share. The zone's allocator lends the rest
+    /// for short times to the instances that need it.
     Borrowed,
 }
 
-/// Gives the part of `slots` that an instance has for ever, when a zone has at most `instances`.
+/// Returns the number of slots that an instance permanently has, when a zone has at most
+/// `instances`.
 pub fn base_share(sharing: SlotSharing, slots: u32, instances: u32) -> u32 {
     let equal = slots / instances.max(1);
     match sharing {
@@ -19,7 +20,7 @@
     }
 }
 
-/// Gives what is left over to lend.
+/// Returns the number of slots that remain for lending.
 pub fn lendable_slots(sharing: SlotSharing, slots: u32, instances: u32) -> u32 {
     slots - base_share(sharing, slots, instances) * instances.min(slots)
 }
--- a/components/routing/tests/left_alone.rs
+++ b/components/routing/tests/left_alone.rs
@@ -1,4 +1,4 @@
-//! Upstreams that failed are left alone, but never all that a request could go to.
+//! Failing upstreams are ejected, but never all that a request could be sent to.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,11 +11,11 @@
     SlotSharing, TargetState,
 };
 
-/// How many requests an upstream takes from this instance.
+/// The share of this instance: the requests that an upstream accepts from it.
 const SHARE: u64 = 4;
 const QUEUE_LIMIT: u64 = 200;
 const TICK: u64 = 10;
-/// How long a request runs at an upstream.
+/// The duration of a request at an upstream, in milliseconds.
 const RUN: u64 = 10;
 const OK: RequestOutcome = RequestOutcome::Answered { micros: 10_000, load: None };
 
@@ -41,7 +41,7 @@
     RequestInfo { id, class: Class::Normal, deadline: Millis(99_000_000), tried: BTreeSet::new() }
 }
 
-/// Has requests fail, each upstream as often in a row as it takes to be left alone.
+/// Makes each upstream fail as many consecutive requests as lead to its ejection.
 fn fail_everywhere(r: &mut Router, now: u64, upstreams: u64) {
     for id in 0..3 * upstreams {
         if let Admission::Send(to) = r.admit(Millis(now), request(1_000_000 + id)) {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Gives when a request is sent that arrives at `now`, or nothing if it is refused.
+/// Returns when a request that arrives at `now` is sent, or `None` if it is refused.
 fn sent_at(r: &mut Router, now: u64) -> Option<u64> {
     match r.admit(Millis(now), request(1)) {
         Admission::Send(_) => return Some(now),
@@ -66,8 +66,8 @@
     })?
 }
 
-/// A request is sent within the time that it may wait, though every upstream has just failed.
-macro_rules! sent_though_all_failed {
+/// A request is sent within its maximum wait although every upstream has just failed.
+macro_rules! sent_after_all_failed {
     ($($name:ident: $upstreams:expr, $times:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -76,12 +76,12 @@
                 fail_everywhere(&mut r, 700 * again, $upstreams);
             }
             let now = 700 * ($times - 1) + 1;
-            assert!(sent_at(&mut r, now).is_some(), "refused beside upstreams without a request");
+            assert!(sent_at(&mut r, now).is_some(), "refused although upstreams are idle");
         }
     )*};
 }
 
-sent_though_all_failed! {
+sent_after_all_failed! {
     a_request_is_sent_where_the_only_upstream_failed: 1, 1;
     a_request_is_sent_where_both_upstreams_failed: 2, 1;
     a_request_is_sent_where_all_upstreams_failed: 20, 1;
@@ -106,18 +106,18 @@
     while let Admission::Send(upstream) = r.admit(Millis(600), request(100 + to.len() as u64)) {
         to.insert(upstream.clone());
     }
-    assert!(to.contains(&name(0)), "left alone for longer than the first time");
+    assert!(to.contains(&name(0)), "ejected for longer than the first time");
 }
 
-/// What became of requests, of which some fail wherever they run.
+/// The outcomes of requests, some of which fail on every upstream.
 #[derive(Debug, Default)]
 struct Counts {
-    well: u32,
+    healthy: u32,
     refused: u32,
 }
 
-/// Sends a request every 2 ms for 20 s to four upstreams that are well; `percent` of them fail wherever they
-/// run. Counts what became of the others.
+/// Sends a request every 2 ms for 20 s to four healthy upstreams; `percent` of the requests fail on
+/// every upstream. Counts the outcomes of the others.
 fn some_fail_everywhere(seed: u64, percent: u64) -> Counts {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut r = router(4);
@@ -129,7 +129,7 @@
         let over: Vec<(u64, u64, Name)> = running.extract_if(.., |r| r.0 <= now).collect();
         for (_, id, to) in over {
             let ending = if faulty[&id] { RequestOutcome::Failed } else { OK };
-            counts.well += u32::from(!faulty[&id]);
+            counts.healthy += u32::from(!faulty[&id]);
             dispatches.extend(r.ended(Millis(now), &to, ending));
         }
         if now % 2 == 0 {
@@ -158,7 +158,7 @@
     for seed in 0..10 {
         let c = some_fail_everywhere(seed, 30);
         println!("seed {seed}: {c:?}");
-        assert!(c.refused * 50 <= c.well, "seed {seed}: {c:?}");
+        assert!(c.refused * 50 <= c.healthy, "seed {seed}: {c:?}");
     }
 }
 
@@ -182,8 +182,8 @@
     assert!(failures <= 2_000, "{failures} requests failed that another zone could have taken");
 }
 
-/// Upstreams that fail all they get, beside others that are well, are left alone ever longer.
-macro_rules! failing_ones_stay_alone {
+/// Upstreams that fail all their requests, beside healthy ones, are ejected for ever longer.
+macro_rules! failing_upstreams_stay_ejected {
     ($($name:ident: $failing:expr, of $upstreams:expr => at most $most:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -203,7 +203,7 @@
     )*};
 }
 
-failing_ones_stay_alone! {
+failing_upstreams_stay_ejected! {
     one_failing_upstream_of_two_stays_alone: 1, of 2 => at most 9;
     one_failing_upstream_of_four_stays_alone: 1, of 4 => at most 9;
     half_of_the_upstreams_stay_alone: 10, of 20 => at most 90;
--- a/components/routing/tests/router.rs
+++ b/components/routing/tests/router.rs
@@ -1,4 +1,4 @@
-//! Admission, shares, shedding, retries, leaving and failing upstreams.
+//! Admission, slot shares, load shedding, retries, and upstreams that leave or fail.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +13,7 @@
     lendable_slots,
 };
 
-const LONGEST: Millis = Millis(2_000);
+const MAX_REQUEST_DURATION: Millis = Millis(2_000);
 const OK: RequestOutcome = RequestOutcome::Answered { micros: 10_000, load: None };
 
 fn config(sharing: SlotSharing) -> RouterConfig {
@@ -42,7 +42,7 @@
     RequestInfo { id, class, deadline: Millis(deadline), tried: BTreeSet::new() }
 }
 
-/// Fills the router's whole share and gives where each request went.
+/// Uses up the router's whole share. Returns the upstream of each request sent.
 fn fill(router: &mut Router, now: u64) -> Vec<Name> {
     let mut sent = Vec::new();
     loop {
@@ -85,7 +85,7 @@
     assert_eq!(order, [3, 2, 1]);
 }
 
-/// A request that cannot be served is refused at once, with a time to come back.
+/// A request that cannot be served is refused immediately, with a time after which to retry.
 macro_rules! refused {
     ($($name:ident: $prepare:expr, $request:expr => $reason:ident;)*) => {$(
         #[test]
@@ -103,10 +103,10 @@
     )*};
 }
 
-fn crowded() -> Router {
+fn overloaded() -> Router {
     let mut r = router(1);
     fill(&mut r, 0);
-    // Slow answers teach the router how long a place in the queue takes.
+    // Slow answers raise the wait that the router expects for each place in the queue.
     for _ in 0..60 {
         r.ended(Millis(0), &name(0), RequestOutcome::Answered { micros: 400_000, load: None });
         r.admit(Millis(0), request(1, Class::Normal, 60_000));
@@ -131,8 +131,8 @@
         r.note_leaving(&name(1));
         r
     }, request(1, Class::Urgent, 9_000) => NoUpstream;
-    in_a_crowd: crowded, request(1, Class::Normal, 60_000) => Overloaded;
-    bulk_in_a_crowd: crowded, request(1, Class::Bulk, 60_000) => Overloaded;
+    in_a_crowd: overloaded, request(1, Class::Normal, 60_000) => Overloaded;
+    bulk_in_a_crowd: overloaded, request(1, Class::Bulk, 60_000) => Overloaded;
 }
 
 #[test]
@@ -245,7 +245,7 @@
 fn a_retry_goes_elsewhere_and_is_paid_for() {
     let mut r = router(2);
     let Admission::Send(first) = r.admit(Millis(0), request(1, Class::Normal, 9_000)) else {
-        panic!("there is room");
+        panic!("there are free slots");
     };
     r.ended(Millis(1), &first, RequestOutcome::Failed);
     let tried = BTreeSet::from([first.clone()]);
@@ -286,9 +286,9 @@
     }
 }
 
-/// Instances that borrow, send, die and come back under brokers that change: what is in flight at an
-/// upstream never exceeds its slots.
-fn borrowing(seed: u64) -> u32 {
+/// Runs instances that borrow slots, send, crash and restart while brokers are replaced. The
+/// requests in flight at the upstream must never exceed its slots. Returns the peak.
+fn peak_under_borrowing(seed: u64) -> u32 {
     let mut rng = StdRng::seed_from_u64(seed);
     let slots = 8;
     let base = base_share(SlotSharing::Borrowed, slots, 2);
@@ -297,66 +297,67 @@
     let mut now = Millis(10_000);
     let mut epoch = 1;
     let both = BTreeSet::from([InstanceId(name(0)), InstanceId(name(1))]);
-    let mut broker = Broker::new(now, Epoch(epoch), LONGEST, both.clone());
-    // An instance may learn late of a new epoch. An old broker has stopped by then, because its right
-    // has run out; its last answers may still be under way.
+    let mut broker = Broker::new(now, Epoch(epoch), MAX_REQUEST_DURATION, both.clone());
+    // An instance may learn of a new epoch late. The old broker has stopped by then, because its hold
+    // on the epoch has expired, but its last answers may still be in transit.
     let mut known = [1, 1];
-    let mut books = [BorrowedSlots::new(1), BorrowedSlots::new(1)];
+    let mut borrowed = [BorrowedSlots::new(1), BorrowedSlots::new(1)];
     let mut process = 1;
-    // When each request under way ends, for each instance.
-    let mut under_way: [Vec<Millis>; 2] = [Vec::new(), Vec::new()];
-    let mut wire = Vec::new();
+    // The end of each request in flight, for each instance.
+    let mut in_flight_until: [Vec<Millis>; 2] = [Vec::new(), Vec::new()];
+    let mut in_transit = Vec::new();
     let mut peak = 0;
     for _ in 0..4_000 {
         now += Millis(rng.random_range(1..40));
         let i = rng.random_range(0..2);
-        under_way.iter_mut().for_each(|u| u.retain(|end| *end > now));
+        in_flight_until.iter_mut().for_each(|u| u.retain(|end| *end > now));
         match rng.random_range(0..100) {
             0..30 => {
-                let in_flight = under_way[i].len() as u32;
-                let wish = UpstreamDemand {
+                let in_flight = in_flight_until[i].len() as u32;
+                let upstream_demand = UpstreamDemand {
                     upstream: upstream.clone(),
                     used: in_flight.saturating_sub(base),
-                    held: books[i].slots(now, &upstream),
+                    held: borrowed[i].slots(now, &upstream),
                     wanted: rng.random_range(0..7),
                 };
                 if rng.random_range(0..3) == 0 {
                     known[i] = epoch;
                 }
                 let id = InstanceId(name(i));
-                let demand = books[i].demand(now, Epoch(known[i]), &id, vec![wish]);
-                wire.push((i, Err(demand)));
+                let demand = borrowed[i].demand(now, Epoch(known[i]), &id, vec![upstream_demand]);
+                in_transit.push((i, Err(demand)));
             }
-            30..70 if !wire.is_empty() => {
-                let place = rng.random_range(0..wire.len());
-                match wire.swap_remove(place) {
+            30..70 if !in_transit.is_empty() => {
+                let place = rng.random_range(0..in_transit.len());
+                match in_transit.swap_remove(place) {
                     (to, Err(demand)) => {
                         if let Some(loan) = broker.answer(now, &demand, lendable) {
-                            wire.push((to, Ok(loan)));
+                            in_transit.push((to, Ok(loan)));
                         }
                     }
-                    (to, Ok(loan)) => books[to].take(now, &loan),
+                    (to, Ok(loan)) => borrowed[to].take(now, &loan),
                 }
             }
             70..96 => {
-                let share = base + books[i].slots(now, &upstream);
-                if (under_way[i].len() as u32) < share {
-                    under_way[i].push(now + Millis(rng.random_range(1..LONGEST.0)));
+                let share = base + borrowed[i].slots(now, &upstream);
+                if (in_flight_until[i].len() as u32) < share {
+                    in_flight_until[i]
+                        .push(now + Millis(rng.random_range(1..MAX_REQUEST_DURATION.0)));
                 }
             }
             96..98 => {
-                // The process dies: its connections close, which frees their slots.
+                // The process crashes: its connections close, which frees their slots.
                 process += 1;
-                books[i] = BorrowedSlots::new(process);
-                under_way[i].clear();
+                borrowed[i] = BorrowedSlots::new(process);
+                in_flight_until[i].clear();
             }
             98 => {
                 epoch += 1;
-                broker = Broker::new(now, Epoch(epoch), LONGEST, both.clone());
+                broker = Broker::new(now, Epoch(epoch), MAX_REQUEST_DURATION, both.clone());
             }
-            _ => wire.clear(),
+            _ => in_transit.clear(),
         }
-        let sum = (under_way[0].len() + under_way[1].len()) as u32;
+        let sum = (in_flight_until[0].len() + in_flight_until[1].len()) as u32;
         assert!(sum <= slots, "{sum} in flight at {now}, seed {seed}");
         peak = peak.max(sum);
     }
@@ -365,13 +366,13 @@
 
 #[test]
 fn loans_hold_in_sum_through_deaths_late_answers_and_new_brokers() {
-    let peaks: Vec<u32> = (0..300).map(borrowing).collect();
+    let peaks: Vec<u32> = (0..300).map(peak_under_borrowing).collect();
     assert!(peaks.iter().any(|p| *p > 4), "loans are used: {peaks:?}");
 }
 
 proptest! {
-    /// Whatever happens, the router's own count at each upstream stays within its share, each
-    /// request gets exactly one verdict, and none is sent where it has been.
+    /// In any sequence of events, the requests in flight at each upstream stay within the share,
+    /// each request gets exactly one verdict, and none is sent where it has already been.
     #[test]
     fn every_request_gets_one_verdict_and_shares_hold(seed in 0u64..5_000) {
         let mut rng = StdRng::seed_from_u64(seed);
@@ -393,7 +394,8 @@
             }
             if !sent.is_empty() && rng.random_range(0..3) > 0 {
                 let n = sent.swap_remove(rng.random_range(0..sent.len()));
-                let ending = [OK, RequestOutcome::Busy, RequestOutcome::Failed][rng.random_range(0..3)];
+                let ending =
+                    [OK, RequestOutcome::Busy, RequestOutcome::Failed][rng.random_range(0..3)];
                 dispatches.extend(r.ended(Millis(now), &n, ending));
             }
             dispatches.extend(r.tick(Millis(now)));
--- a/components/routing/tests/starvation.rs
+++ b/components/routing/tests/starvation.rs
@@ -1,4 +1,5 @@
-//! A request that may not go where there is room never keeps that room from those behind it.
+//! A request that may not go to an upstream with free slots never keeps these from the requests
+//! behind it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,9 +12,9 @@
     SlotSharing, TargetState,
 };
 
-/// How many requests an upstream takes from this instance.
+/// The share of this instance: the requests that an upstream accepts from it.
 const SHARE: u64 = 4;
-/// From here on the numbers of the requests that the tests look at begin.
+/// The lowest identifier of the requests under test.
 const FIRST_ID: u64 = 1_000;
 const DEADLINE: Millis = Millis(9_000);
 const OK: RequestOutcome = RequestOutcome::Answered { micros: 10_000, load: None };
@@ -26,7 +27,7 @@
     (0..upstreams).map(|i| (name(i), TargetState::Live)).collect()
 }
 
-/// A router whose share of two upstreams is in use.
+/// A router whose share of both upstreams is in use.
 fn full_router() -> Router {
     let cfg = RouterConfig {
         sharing: SlotSharing::Fixed,
@@ -48,19 +49,19 @@
     RequestInfo { id, class, deadline: DEADLINE, tried: BTreeSet::new() }
 }
 
-/// A request that has been to the first upstream.
+/// A request that has already been sent to the first upstream.
 fn retry(id: u64, class: Class) -> RequestInfo {
     RequestInfo { tried: BTreeSet::from([name(0)]), ..fresh(id, class) }
 }
 
-/// Lets requests wait, numbered in their order.
+/// Queues requests, in the order of their identifiers.
 fn wait(router: &mut Router, requests: Vec<RequestInfo>) {
     for request in requests {
         assert_eq!(router.admit(Millis(0), request), Admission::Wait);
     }
 }
 
-/// Ends one request at an upstream and gives what is sent where.
+/// Ends one request at an upstream. Returns which requests are sent, and where.
 fn end_one_at(router: &mut Router, upstream: u64) -> Vec<(u64, Name)> {
     let sent = |d: Dispatch| match d {
         Dispatch::Send { id, upstream, .. } => (id, upstream),
@@ -69,9 +70,9 @@
     router.ended(Millis(5), &name(upstream), OK).into_iter().map(sent).collect()
 }
 
-/// So many retries of a class that may not go to the only free upstream hold up nobody behind them: neither
-/// who waits nor who arrives.
-macro_rules! held_up_by_none {
+/// Retries that may not go to the only free upstream block nobody behind them: neither queued
+/// requests nor new ones.
+macro_rules! blocks_nobody {
     ($($name:ident: $retries:expr, $class:ident, then $behind:ident;)*) => {$(
         #[test]
         fn $name() {
@@ -79,16 +80,16 @@
             wait(&mut r, (0..$retries).map(|i| retry(FIRST_ID + i, Class::$class)).collect());
             let (waits, arrives) = (FIRST_ID + $retries, FIRST_ID + $retries + 1);
             wait(&mut r, vec![fresh(waits, Class::$behind)]);
-            assert_eq!(end_one_at(&mut r, 0), [(waits, name(0))], "who waits is sent");
-            assert_eq!(end_one_at(&mut r, 0), [], "the retries may not go there");
+            assert_eq!(end_one_at(&mut r, 0), [(waits, name(0))], "the queued request is sent");
+            assert_eq!(end_one_at(&mut r, 0), [], "the retries are not sent there");
             let arrival = r.admit(Millis(5), fresh(arrives, Class::$behind));
-            assert_eq!(arrival, Admission::Send(name(0)), "who arrives is sent");
+            assert_eq!(arrival, Admission::Send(name(0)), "the new request is sent");
             assert_eq!(r.waiting() as u64, $retries);
         }
     )*};
 }
 
-held_up_by_none! {
+blocks_nobody! {
     a_retry_holds_up_none_of_its_class: 1, Normal, then Normal;
     an_urgent_retry_holds_up_no_bulk_request: 1, Urgent, then Bulk;
     fifty_retries_hold_up_nobody: 50, Normal, then Normal;
@@ -128,8 +129,9 @@
     assert_eq!(arrival, Admission::Send(name(2)));
 }
 
-/// Random arrivals, endings and ticks of fresh requests and retries: after each, nobody waits who may go to
-/// an upstream with room, and no retry is sent where it has been.
+/// Applies random arrivals, ends and ticks to new requests and retries. After each step no request
+/// may wait that could go to an upstream with free slots, and no retry may be sent to an upstream
+/// that it has been sent to.
 fn no_room_beside_who_may_use_it(seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut r = full_router();
@@ -161,7 +163,7 @@
         for dispatch in dispatches {
             match dispatch {
                 Dispatch::Send { id, upstream, .. } => {
-                    let tried = waiting.remove(&id).expect("only who waits is sent");
+                    let tried = waiting.remove(&id).expect("only queued requests are sent");
                     assert!(!tried.contains(&upstream), "seed {seed}");
                     in_flight.push(upstream);
                 }
