--- a/components/routing/src/router.rs
+++ b/components/routing/src/router.rs
@@ -51,11 +51,11 @@
     Send(Name),
     /// It is queued; its dispatch or refusal follows later.
     Wait,
-    /// It is refused.
+    /// Refuse it.
     Refuse {
-        /// Why.
+        /// The reason.
         reason: Refusal,
-        /// When to come back.
+        /// The time after which to retry.
         retry_after: Millis,
     },
 }
@@ -76,9 +76,9 @@
     Refuse {
         /// The request.
         id: u64,
-        /// Why.
+        /// The reason.
         reason: Refusal,
-        /// When to come back.
+        /// The time after which to retry.
         retry_after: Millis,
     },
 }
