--- a/components/node/src/advice_calls.rs
+++ b/components/node/src/advice_calls.rs
@@ -1,4 +1,4 @@
-//! Calling for advice on behalf of the leader.
+//! Calls to the advice service on behalf of the leader.
 
 use model::InstanceId;
 use workload::{StepKey, WorkerId};
@@ -6,28 +6,28 @@
 use crate::message::Message;
 use crate::ports::Ports;
 
-/// A call that the leader asked this instance to make.
+/// An advice call that the leader asked this instance to make.
 pub(crate) struct AdviceCall {
-    /// Whom the answer goes to.
+    /// The leader, which gets the response.
     pub(crate) leader: InstanceId,
-    /// The number that the answer bears.
+    /// The id of the leader's request.
     pub(crate) id: u64,
     pub(crate) step: StepKey,
     pub(crate) workers: Vec<WorkerId>,
 }
 
-/// Makes a call and hands its answer on, with whom it goes to. A call without an answer is told, too,
-/// so that the leader can ask another instance.
-pub(crate) fn spawn_advice(
+/// Makes a call in the background and passes the response to `on_response` with its receiver. A call without
+/// an answer is reported as well, so that the leader can ask another instance.
+pub(crate) fn spawn_advice_call(
     ports: &Ports,
     call: AdviceCall,
-    hand_on: impl FnOnce(InstanceId, Message) + 'static,
+    on_response: impl FnOnce(InstanceId, Message) + 'static,
 ) {
-    let asked = ports.advice.request(call.step, call.workers);
+    let response = ports.advice.request(call.step, call.workers);
     ntex::rt::spawn(async move {
-        let advice = asked.await;
+        let advice = response.await;
         let valid = advice.as_ref().and_then(|a| a.valid);
         let message = Message::Advised { id: call.id, valid, allowed: advice.map(|a| a.allowed) };
-        hand_on(call.leader, message);
+        on_response(call.leader, message);
     });
 }
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -1,5 +1,5 @@
-//! A control instance: it keeps the log, takes in what workers and operators say, and leads if it is
-//! elected.
+//! A control instance: it stores the replicated log, receives announcements of workers and calls of
+//! operators, and leads while it is elected.
 
 use std::sync::Arc;
 
@@ -14,63 +14,63 @@
 use transport::{Links, Packet};
 use workload::PolicyReader;
 
-use crate::advice_calls::{AdviceCall, spawn_advice};
+use crate::advice_calls::{AdviceCall, spawn_advice_call};
 use crate::control_event::ControlEvent;
 use crate::leader_term::LeaderTerm;
 use crate::leaving_workers::LeavingAcknowledgements;
 use crate::log_thread::{LogEvent, LogHandle, LogInput};
 use crate::message::Message;
-use crate::node_handle::{Arrival, NodeHandle, Signal};
+use crate::node_handle::{InboundEvent, NodeHandle, Signal};
 use crate::peers::Peers;
-use crate::pending_calls::Waiters;
+use crate::pending_calls::PendingCalls;
 use crate::ports::Ports;
 use crate::recent_announcements::RecentAnnouncements;
 use crate::relay::{Relay, RelayAction};
-use crate::role_support::{begin_stop, sync_links, tell_leader, tell_reload, tell_unreadable};
+use crate::role_support::{begin_stop, log_leader, log_reload, log_unreadable, sync_links};
 use crate::settings::NodeSettings;
 use crate::stall_detection::{StallDetector, log_stall};
-use crate::timing::{LAST_ANSWERS, READ_SETTINGS_EVERY, TICK};
+use crate::timing::{FINAL_ANSWERS_TIME, SETTINGS_READ_INTERVAL, TICK_INTERVAL};
 
-/// How often the gauges are set.
-const MEASURE_EVERY: Millis = Millis(1_000);
-/// How long a control instance serves on after it was told to stop, so that another one leads and
-/// what it has taken in is answered.
-const STOP_AFTER: Millis = Millis(1_500);
+/// How often a leader sets its gauges and logs its load.
+const LOAD_REPORT_INTERVAL: Millis = Millis(1_000);
+/// How long a control instance continues to serve after it was asked to stop. If it exits sooner, another
+/// one may not lead yet, and calls that it has accepted remain unanswered.
+const STOP_DELAY: Millis = Millis(1_500);
 
 /// The state of a control instance.
-pub(crate) struct Control {
+pub(crate) struct ControlInstance {
     pub(crate) settings: NodeSettings,
     pub(crate) clock: Arc<SystemClock>,
-    pub(crate) away: StallDetector,
+    pub(crate) stall_detector: StallDetector,
     pub(crate) links: Arc<Links>,
     pub(crate) log: LogHandle,
     pub(crate) peers: Peers,
     pub(crate) relay: Relay,
-    pub(crate) waiters: Waiters,
+    pub(crate) pending_calls: PendingCalls,
     pub(crate) metrics: Arc<Registry>,
     pub(crate) ports: Ports,
     pub(crate) reader: Arc<dyn PolicyReader>,
     pub(crate) handle: NodeHandle,
     pub(crate) events: UnboundedSender<ControlEvent>,
-    pub(crate) leading: Option<LeaderTerm>,
-    pub(crate) news: RecentAnnouncements,
-    pub(crate) leaving_waits: LeavingAcknowledgements,
-    /// The instances that vote, as far as this one knows.
+    pub(crate) leader_term: Option<LeaderTerm>,
+    pub(crate) recent_announcements: RecentAnnouncements,
+    pub(crate) leaving_acknowledgements: LeavingAcknowledgements,
+    /// The voters, as far as this instance knows.
     pub(crate) voters: Vec<InstanceId>,
-    pub(crate) stops_at: Option<Millis>,
+    pub(crate) stop_at: Option<Millis>,
     pub(crate) tick_at: Millis,
-    pub(crate) measure_at: Millis,
-    /// When the settings file is looked at next.
-    pub(crate) read_at: Millis,
+    pub(crate) next_load_report_at: Millis,
+    /// When the settings file is read next.
+    pub(crate) next_settings_read_at: Millis,
     pub(crate) failed: Option<Error>,
     pub(crate) reload: Box<dyn Fn() -> Option<NodeSettings>>,
 }
 
-pub(crate) fn tell_disk_unusable(settings: &NodeSettings, e: &Error) {
+pub(crate) fn log_disk_unusable(settings: &NodeSettings, e: &Error) {
     tell(&kinds::DISK_UNUSABLE, &settings.name, &format!("fault={:?}", e.to_string()));
 }
 
-impl Control {
+impl ControlInstance {
     pub(crate) async fn run(mut self, mut rx: UnboundedReceiver<ControlEvent>) -> Result<()> {
         let (listen, disk) = (self.settings.listen, self.log.disk);
         let details = format!("role=control listen={listen} disk={:016x}", disk.0);
@@ -79,27 +79,27 @@
             let wait = self.tick_at.since(self.clock.now());
             let first = timeout(wait.duration(), rx.recv()).await;
             if let Ok(Some(event)) = first {
-                self.take(event);
+                self.on_event(event);
                 while let Ok(event) = rx.try_recv() {
-                    self.take(event);
+                    self.on_event(event);
                 }
             }
             if self.clock.now() >= self.tick_at {
                 let now = self.clock.now();
-                let absence = self.away.check(now, || self.clock.suspended());
-                absence.inspect(|a| log_stall(&self.settings.name, a));
-                self.tick_at = now + TICK;
-                self.tend();
+                let stall = self.stall_detector.check(now, || self.clock.suspended());
+                stall.inspect(|a| log_stall(&self.settings.name, a));
+                self.tick_at = now + TICK_INTERVAL;
+                self.on_tick();
             }
             self.decide();
             if let Some(e) = self.failed.take() {
                 return Err(e);
             }
-            if self.stops_at.is_some_and(|t| self.clock.now() >= t) {
+            if self.stop_at.is_some_and(|t| self.clock.now() >= t) {
                 break;
             }
         }
-        sleep(LAST_ANSWERS.duration()).await;
+        sleep(FINAL_ANSWERS_TIME.duration()).await;
         tell(&kinds::NODE_STOPPED, &self.settings.name, "");
         Ok(())
     }
@@ -109,78 +109,79 @@
         Moment { now: self.clock.now(), wall: wall_now(), leads_until }
     }
 
-    fn take(&mut self, event: ControlEvent) {
+    fn on_event(&mut self, event: ControlEvent) {
         match event {
             ControlEvent::Packet(Ok(packet)) => self.on_packet(packet),
-            ControlEvent::Packet(Err(e)) => tell_unreadable(&e),
-            ControlEvent::Arrival(arrival) => self.on_arrival(arrival),
+            ControlEvent::Packet(Err(e)) => log_unreadable(&e),
+            ControlEvent::Inbound(event) => self.on_inbound(event),
             ControlEvent::Log(event) => self.on_log(event),
             ControlEvent::Called { term, input } => {
-                // A later term settles what an earlier one had under way by itself.
-                if self.leading.as_ref().is_some_and(|l| l.term == term) {
-                    self.feed(input);
+                // A later term handles the unfinished calls of an earlier one by itself.
+                if self.leader_term.as_ref().is_some_and(|l| l.term == term) {
+                    self.handle_input(input);
                 }
             }
             ControlEvent::Advised { to, message } => self.links.send(&to, 0, message),
         }
     }
 
-    pub(crate) fn feed(&mut self, input: Input) {
+    /// Passes an input to the dispatcher if this instance leads.
+    pub(crate) fn handle_input(&mut self, input: Input) {
         let m = self.moment();
-        if let Some(leading) = &mut self.leading {
-            leading.dispatcher.handle(m, input);
+        if let Some(leader_term) = &mut self.leader_term {
+            leader_term.dispatcher.handle(m, input);
         }
     }
 
-    fn on_arrival(&mut self, arrival: Arrival) {
+    fn on_inbound(&mut self, event: InboundEvent) {
         let now = self.clock.now();
-        match arrival {
-            Arrival::Call { call, patience, tx } => {
-                let token = self.relay.accept(now, call.clone(), patience);
-                self.waiters.add(token, now, &call, tx);
+        match event {
+            InboundEvent::Call { call, max_wait, tx } => {
+                let token = self.relay.accept(now, call.clone(), max_wait);
+                self.pending_calls.add(token, now, &call, tx);
             }
-            Arrival::Announcement(news) => self.on_news(news, true),
-            Arrival::Leaving { news, tx } => {
-                let (worker, number) = (news.info.id.clone(), news.number);
-                self.leaving_waits.add(worker.clone(), number, tx);
-                self.on_news(news, true);
-                if self.leading.is_some() {
-                    self.leaving_waits.taken(&worker, number);
+            InboundEvent::Announcement(announcement) => self.on_announcement(announcement, true),
+            InboundEvent::Leaving { announcement, tx } => {
+                let (worker, number) = (announcement.info.id.clone(), announcement.number);
+                self.leaving_acknowledgements.add(worker.clone(), number, tx);
+                self.on_announcement(announcement, true);
+                if self.leader_term.is_some() {
+                    self.leaving_acknowledgements.acknowledge(&worker, number);
                 }
             }
-            Arrival::Left(worker) => {
-                self.news.remove(&worker);
-                self.to_leader(Message::Left(worker.clone()));
-                self.feed(Input::Left(worker));
+            InboundEvent::Left(worker) => {
+                self.recent_announcements.remove(&worker);
+                self.send_to_leader(Message::Left(worker.clone()));
+                self.handle_input(Input::Left(worker));
             }
-            Arrival::Signal(Signal::Reload) => self.read_settings(now),
-            Arrival::Signal(Signal::Stop) => {
+            InboundEvent::Signal(Signal::Reload) => self.read_settings(now),
+            InboundEvent::Signal(Signal::Stop) => {
                 begin_stop(&self.settings, &self.handle);
                 self.log.send(LogInput::HandOver);
-                self.stops_at.get_or_insert(now + STOP_AFTER);
+                self.stop_at.get_or_insert(now + STOP_DELAY);
             }
         }
     }
 
-    /// Takes in settings that have changed.
+    /// Applies the settings if they have changed.
     fn read_settings(&mut self, now: Millis) {
         if let Some(settings) = (self.reload)() {
-            tell_reload(&settings);
+            log_reload(&settings);
             let seeds: Vec<InstanceId> = settings.seeds.iter().cloned().collect();
             self.peers.set_seeds(settings.seeds, now);
             self.log.send(LogInput::Contacts(seeds));
         }
     }
 
-    fn on_news(&mut self, news: dispatch::WorkerAnnouncement, direct: bool) {
+    fn on_announcement(&mut self, announcement: dispatch::WorkerAnnouncement, direct: bool) {
         if direct {
-            self.news.add(self.clock.now(), news.clone());
-            self.to_leader(Message::Announcement(news.clone()));
+            self.recent_announcements.add(self.clock.now(), announcement.clone());
+            self.send_to_leader(Message::Announcement(announcement.clone()));
         }
-        self.feed(Input::Announcement(news));
+        self.handle_input(Input::Announcement(announcement));
     }
 
-    fn to_leader(&self, message: Message) {
+    fn send_to_leader(&self, message: Message) {
         if let Some(leader) = self.peers.leader(self.clock.now())
             && *leader != self.settings.id()
         {
@@ -191,34 +192,38 @@
     fn on_log(&mut self, event: LogEvent) {
         let now = self.clock.now();
         match event {
-            LogEvent::Leads { term, replicated } => self.lead(term, *replicated),
+            LogEvent::LeadershipGained { term, replicated } => self.begin_term(term, *replicated),
             LogEvent::Committed { term, batch } => {
-                if self.leading.as_ref().is_some_and(|l| l.term == term) {
-                    self.measure_commit(now, batch);
-                    self.feed(Input::Committed(batch));
+                if self.leader_term.as_ref().is_some_and(|l| l.term == term) {
+                    self.record_commit_latency(now, batch);
+                    self.handle_input(Input::Committed(batch));
                 }
             }
-            LogEvent::Deposed { term, why } => {
-                tell(&kinds::TERM_ENDED, &self.settings.name, &format!("term={term} why={why:?}"));
-                self.leading = None;
-                self.forget_services();
+            LogEvent::LeadershipLost { term, reason } => {
+                tell(
+                    &kinds::TERM_ENDED,
+                    &self.settings.name,
+                    &format!("term={term} why={reason:?}"),
+                );
+                self.leader_term = None;
+                self.clear_leader_gauges();
                 self.peers.clear_leader(&self.settings.id());
             }
-            LogEvent::Leader { term, leader } => {
+            LogEvent::LeaderChanged { term, leader } => {
                 if self.peers.update_leader(leader.clone(), term, now) {
-                    tell_leader(&leader, term);
+                    log_leader(&leader, term);
                     self.relay.leader_changed(now);
-                    self.retell_news();
+                    self.resend_announcements();
                 }
             }
-            LogEvent::Members { voters, learners } => {
+            LogEvent::MembersChanged { voters, learners } => {
                 let names: Vec<&str> = voters.iter().map(|v| v.as_str()).collect();
                 let details = format!("voters={} learners={learners}", names.join(","));
                 self.voters = voters;
                 tell(&kinds::VOTERS_CHANGED, &self.settings.name, &details);
             }
-            LogEvent::DiskFailed(e) => tell_disk_unusable(&self.settings, &e),
-            LogEvent::DiskBack(after) => {
+            LogEvent::DiskFailed(e) => log_disk_unusable(&self.settings, &e),
+            LogEvent::DiskRecovered(after) => {
                 let details = format!("after_ms={}", after.0);
                 tell(&kinds::DISK_USABLE, &self.settings.name, &details);
             }
@@ -226,17 +231,18 @@
         }
     }
 
-    /// Tells a new leader what workers have announced here.
-    fn retell_news(&self) {
-        for news in self.news.fresh(self.clock.now()) {
-            self.to_leader(Message::Announcement(news));
+    /// Sends the recent announcements of workers to a new leader.
+    fn resend_announcements(&self) {
+        for announcement in self.recent_announcements.recent(self.clock.now()) {
+            self.send_to_leader(Message::Announcement(announcement));
         }
     }
 
+    /// Returns the answer to a hello: the leader and the members as this instance knows them.
     pub(crate) fn welcome(&self) -> Message {
         let now = self.clock.now();
         let leader = self.peers.leader(now).cloned();
-        let term = match &self.leading {
+        let term = match &self.leader_term {
             Some(l) => l.term,
             None => self.peers.term(),
         };
@@ -253,7 +259,7 @@
                 if let consensus::Body::Append { term, .. } = &envelope.body {
                     let changed = self.peers.update_leader(from, *term, now);
                     if changed {
-                        self.retell_news();
+                        self.resend_announcements();
                         self.relay.leader_changed(now);
                     }
                 }
@@ -261,7 +267,7 @@
             }
             Message::Hello { disk, calls_advice, answered } => {
                 self.peers.on_hello(&from, disk, calls_advice, answered);
-                if let (Some(disk), Some(_)) = (disk, &self.leading) {
+                if let (Some(disk), Some(_)) = (disk, &self.leader_term) {
                     self.log.send(LogInput::Admit { id: from.clone(), disk });
                 }
                 self.links.send(&from, 0, self.welcome());
@@ -269,7 +275,7 @@
             Message::Welcome { leader, term, controls, .. } => {
                 if self.peers.on_welcome(&from, leader, term, &controls, now) {
                     self.relay.leader_changed(now);
-                    self.retell_news();
+                    self.resend_announcements();
                 }
                 self.log.send(LogInput::Contacts(controls));
             }
@@ -278,55 +284,55 @@
                 let action = self.relay.on_answer(now, token, answer);
                 self.perform(action.into_iter().collect());
             }
-            Message::Announcement(news) => {
-                let (worker, number) = (news.info.id.clone(), news.number);
-                let leaving = news.leaving;
-                self.on_news(news, false);
-                if leaving && self.leading.is_some() {
+            Message::Announcement(announcement) => {
+                let (worker, number) = (announcement.info.id.clone(), announcement.number);
+                let leaving = announcement.leaving;
+                self.on_announcement(announcement, false);
+                if leaving && self.leader_term.is_some() {
                     self.links.send(&from, 0, Message::LeavingAcknowledged { worker, number });
                 }
             }
             Message::LeavingAcknowledged { worker, number } => {
-                self.leaving_waits.taken(&worker, number)
+                self.leaving_acknowledgements.acknowledge(&worker, number)
             }
-            Message::Left(worker) => self.feed(Input::Left(worker)),
+            Message::Left(worker) => self.handle_input(Input::Left(worker)),
             Message::AdviceRequest { id, step, workers } => {
                 let events = self.events.clone();
                 let call = AdviceCall { leader: from, id, step, workers };
-                // The process ends soon if nobody listens.
-                let hand_on =
+                // The send fails only if the process is about to exit.
+                let on_response =
                     move |to, message| drop(events.send(ControlEvent::Advised { to, message }));
-                spawn_advice(&self.ports, call, hand_on);
+                spawn_advice_call(&self.ports, call, on_response);
             }
             Message::Advised { id, valid, allowed } => {
-                self.feed(Input::Advised { id, valid, allowed });
+                self.handle_input(Input::Advised { id, valid, allowed });
             }
         }
     }
 
-    fn tend(&mut self) {
+    fn on_tick(&mut self) {
         let now = self.clock.now();
-        if self.leading.is_some() {
+        if self.leader_term.is_some() {
             self.peers.confirm_leader(now);
         }
         sync_links(&self.links, &mut self.peers, now);
-        self.news.forget_old(now);
-        self.leaving_waits.forget_closed();
+        self.recent_announcements.remove_old(now);
+        self.leaving_acknowledgements.remove_closed();
         for (to, hello) in self.peers.due_hellos(now) {
             self.links.send(&to, 0, hello);
         }
-        if now >= self.read_at {
-            self.read_at = now + READ_SETTINGS_EVERY;
+        if now >= self.next_settings_read_at {
+            self.next_settings_read_at = now + SETTINGS_READ_INTERVAL;
             self.read_settings(now);
         }
-        if now >= self.measure_at {
-            self.measure_at = now + MEASURE_EVERY;
-            self.measure_book();
+        if now >= self.next_load_report_at {
+            self.next_load_report_at = now + LOAD_REPORT_INTERVAL;
+            self.report_load();
         }
-        let mut helpers = self.peers.advice_callers(now);
-        helpers.insert(self.settings.id());
-        self.feed(Input::AdviceCallers(helpers));
-        self.feed(Input::Tick);
+        let mut advice_callers = self.peers.advice_callers(now);
+        advice_callers.insert(self.settings.id());
+        self.handle_input(Input::AdviceCallers(advice_callers));
+        self.handle_input(Input::Tick);
         let actions = self.relay.tick(now, self.peers.leader(now));
         self.perform(actions);
         self.handle.set_ready(self.peers.leader(now).is_some());
@@ -342,7 +348,7 @@
                 }
                 RelayAction::Send(to, message) => self.links.send(&to, 0, message),
                 RelayAction::Answer(token, answer) => {
-                    self.waiters.answer(self.clock.now(), token, answer);
+                    self.pending_calls.answer(self.clock.now(), token, answer);
                 }
             }
         }
--- a/components/node/src/control_event.rs
+++ b/components/node/src/control_event.rs
@@ -1,4 +1,4 @@
-//! What a control instance waits for.
+//! The events that a control instance handles.
 
 use dispatch::Input;
 use errors::Result;
@@ -7,14 +7,14 @@
 
 use crate::log_thread::LogEvent;
 use crate::message::Message;
-use crate::node_handle::Arrival;
+use crate::node_handle::InboundEvent;
 
-/// Everything that a control instance waits for.
+/// An event that a control instance handles.
 pub(crate) enum ControlEvent {
     Packet(Result<Packet<Message>>),
-    Arrival(Arrival),
+    Inbound(InboundEvent),
     Log(LogEvent),
-    /// What came of a call that the leader of a term made.
+    /// The result of a call that this instance made as the leader of `term`.
     Called {
         term: u64,
         input: Input,
--- a/components/node/src/descriptors.rs
+++ b/components/node/src/descriptors.rs
@@ -1,25 +1,25 @@
-//! What the open files of a process are for. The operating system limits them, and a process that has
-//! none left can neither write its log nor take a call, so each use has its share. Calls and
-//! listeners keep to theirs; the links to other instances are as many as there are instances, and theirs is
-//! only left free for them.
+//! The division of a process's file descriptors among their uses. The operating system limits them, and a
+//! process without free descriptors can neither write its log nor accept a call, so each use has a share.
+//! The shares of calls and listeners are enforced; the number of links to other instances depends on the
+//! number of instances, so their share is only reserved.
 
-/// The file in which the kernel tells a process its limits.
+/// The file in which the kernel lists the limits of the process.
 const LIMITS_FILE: &str = "/proc/self/limits";
-/// The line of that file on open files; the number behind it is the limit in force.
+/// The start of the line of that file on open files; the first number after it is the soft limit, which applies.
 const LIMIT_LINE: &str = "Max open files";
-/// The limit where none can be read: the least that systems grant by default.
-const USUAL_LIMIT: usize = 1_024;
-/// What part of all descriptors, in sixteenths, goes to connections to workers: a renewal that waits at
-/// each of 1,100 workers, and 700 orders, out of 4,124.
-const CALLS_SHARE: usize = 7;
-/// What part goes to connections from workers, operators and callers: 1,100 workers may all announce
-/// themselves to the same control instance.
-const LISTENERS_SHARE: usize = 5;
-/// What part goes to the other instances, two for each. The rest, a sixteenth, is for the log, its
-/// snapshots, the listeners and what the libraries open.
-const PEERS_SHARE: usize = 3;
+/// The limit if it cannot be read: the smallest common default of operating systems.
+const DEFAULT_LIMIT: usize = 1_024;
+/// The share of connections to workers, in sixteenths of all descriptors. Of 4,124 descriptors it covers a
+/// waiting lease renewal at each of 1,100 workers and 700 orders.
+const CALLS_SIXTEENTHS: usize = 7;
+/// The share of connections from workers, operators and callers, in sixteenths: 1,100 workers may all send
+/// their announcements to the same control instance.
+const LISTENERS_SIXTEENTHS: usize = 5;
+/// The share of links to other instances, in sixteenths; each takes two descriptors. The remaining sixteenth
+/// is for the log, its snapshots, the listeners and files that libraries open.
+const PEERS_SIXTEENTHS: usize = 3;
 
-/// How many descriptors each use may take.
+/// The number of descriptors for each use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Descriptors {
     /// Connections that this process opens to workers and to the advice service.
@@ -31,24 +31,24 @@
 }
 
 impl Descriptors {
-    /// Divides a limit.
+    /// Divides a limit among the uses.
     pub fn divide(limit: usize) -> Descriptors {
         let share = |sixteenths: usize| limit * sixteenths / 16;
         Descriptors {
-            calls: share(CALLS_SHARE),
-            listeners: share(LISTENERS_SHARE),
-            peers: share(PEERS_SHARE),
+            calls: share(CALLS_SIXTEENTHS),
+            listeners: share(LISTENERS_SIXTEENTHS),
+            peers: share(PEERS_SIXTEENTHS),
         }
     }
 
     /// Divides the limit of this process.
     pub fn of_this_process() -> Descriptors {
         let text = std::fs::read_to_string(LIMITS_FILE).unwrap_or_default();
-        Descriptors::divide(parse_open_file_limit(&text).unwrap_or(USUAL_LIMIT))
+        Descriptors::divide(parse_open_file_limit(&text).unwrap_or(DEFAULT_LIMIT))
     }
 }
 
-/// Reads the limit in force out of the kernel's table.
+/// Parses the soft limit of open files from the kernel's table of limits.
 pub fn parse_open_file_limit(text: &str) -> Option<usize> {
     let line = text.lines().find_map(|l| l.strip_prefix(LIMIT_LINE))?;
     line.split_whitespace().next()?.parse().ok()
--- a/components/node/src/entry.rs
+++ b/components/node/src/entry.rs
@@ -1,4 +1,5 @@
-//! An entry instance: it relays callers' calls to the leader and calls for advice on its behalf.
+//! An entry instance: it relays callers' calls to the leader and calls the advice service on the
+//! leader's behalf.
 
 use std::sync::Arc;
 
@@ -11,54 +12,55 @@
 use tokio::time::{sleep, timeout};
 use transport::{Links, Packet};
 
-use crate::advice_calls::{AdviceCall, spawn_advice};
+use crate::advice_calls::{AdviceCall, spawn_advice_call};
 use crate::message::Message;
-use crate::node_handle::{Arrival, NodeHandle, Signal};
+use crate::node_handle::{InboundEvent, NodeHandle, Signal};
 use crate::peers::{Peers, PeersConfig, Reachability};
-use crate::pending_calls::Waiters;
+use crate::pending_calls::PendingCalls;
 use crate::ports::Ports;
 use crate::relay::{Relay, RelayAction};
 use crate::role_support::{
-    begin_stop, open_links, pass_on, sync_links, tell_leader, tell_reload, tell_unreadable,
+    begin_stop, forward_events, log_leader, log_reload, log_unreadable, open_links, sync_links,
 };
 use crate::settings::NodeSettings;
 use crate::stall_detection::{StallDetector, log_stall};
-use crate::timing::{LAST_ANSWERS, READ_SETTINGS_EVERY, TICK};
+use crate::timing::{FINAL_ANSWERS_TIME, SETTINGS_READ_INTERVAL, TICK_INTERVAL};
 
-/// How long before the end of its grace a process that is told to stop ends by itself, so that it is
-/// never killed in the middle of an answer.
+/// How long before the end of its grace period a process that was asked to stop exits. With a smaller
+/// margin it may be killed while it sends an answer.
 const STOP_MARGIN: Millis = Millis(900);
 
-/// Everything that an entry instance waits for.
+/// An event that an entry instance handles.
 enum Event {
     Packet(Result<Packet<Message>>),
-    Arrival(Arrival),
+    Inbound(InboundEvent),
     Advised { to: InstanceId, message: Message },
 }
 
-struct Entry {
+struct EntryInstance {
     settings: NodeSettings,
     clock: Arc<SystemClock>,
-    away: StallDetector,
+    stall_detector: StallDetector,
     links: Arc<Links>,
     peers: Peers,
     relay: Relay,
-    waiters: Waiters,
+    pending_calls: PendingCalls,
     ports: Ports,
     handle: NodeHandle,
     events: UnboundedSender<Event>,
-    stops_at: Option<Millis>,
-    /// When the settings file is looked at next.
-    read_at: Millis,
-    /// Whether a leader was spoken of just now.
+    stop_at: Option<Millis>,
+    /// When the settings file is read next.
+    next_settings_read_at: Millis,
+    /// Whether the leader and a majority of the voters could be reached at the last tick.
     connected: bool,
     reload: Box<dyn Fn() -> Option<NodeSettings>>,
 }
 
-/// Runs an entry instance until it is told to stop. `serve` opens the listeners on the gate.
+/// Runs an entry instance until it is asked to stop. `serve` opens the listeners, which submit calls
+/// through the handle; `reload` returns the settings if they have changed.
 ///
 /// # Errors
-/// If the instance cannot start.
+/// Fails if the instance cannot start.
 pub async fn run_entry<F, S>(
     settings: NodeSettings,
     ports: Ports,
@@ -72,71 +74,73 @@
     let (tx, rx) = unbounded_channel::<Event>();
     let links = open_links(&settings, {
         let tx = tx.clone();
-        // The process ends soon if nobody listens.
+        // The send fails only if the process is about to exit.
         move |packet| drop(tx.send(Event::Packet(packet)))
     })?;
     let metrics = Arc::new(Registry::default());
-    let (handle, arrivals_rx) = NodeHandle::open(metrics.clone())?;
+    let (handle, inbound_rx) = NodeHandle::open(metrics.clone())?;
     let cfg = PeersConfig { id: settings.id(), disk: None, calls_advice: true };
-    let entry = Entry {
+    let entry = EntryInstance {
         peers: Peers::new(cfg, settings.seeds.clone(), clock.now()),
         relay: Relay::new(u64::from(rand::random::<u32>())),
-        waiters: Waiters::new(metrics),
-        away: StallDetector::new(clock.now(), clock.suspended()),
+        pending_calls: PendingCalls::new(metrics),
+        stall_detector: StallDetector::new(clock.now(), clock.suspended()),
         clock,
         links,
         ports,
         handle: handle.clone(),
         events: tx.clone(),
-        stops_at: None,
-        read_at: Millis::ZERO,
+        stop_at: None,
+        next_settings_read_at: Millis::ZERO,
         connected: false,
         reload,
         settings,
     };
     let _server = serve(handle)?;
-    ntex::rt::spawn(pass_on(arrivals_rx, tx, Event::Arrival));
+    ntex::rt::spawn(forward_events(inbound_rx, tx, Event::Inbound));
     entry.run(rx).await;
     Ok(())
 }
 
-impl Entry {
+impl EntryInstance {
     async fn run(mut self, mut rx: UnboundedReceiver<Event>) {
         let listen = self.settings.listen;
         tell(&kinds::NODE_STARTED, &self.settings.name, &format!("role=entry listen={listen}"));
         loop {
-            let first = timeout(TICK.duration(), rx.recv()).await;
-            // One reading serves for all that has come and for what is done about it.
+            let first = timeout(TICK_INTERVAL.duration(), rx.recv()).await;
+            // All events of one iteration are handled with the same time.
             let now = self.clock.now();
             if let Ok(Some(event)) = first {
-                self.take(now, event);
+                self.on_event(now, event);
                 while let Ok(event) = rx.try_recv() {
-                    self.take(now, event);
+                    self.on_event(now, event);
                 }
             }
-            self.tend(now);
-            let absence = self.away.check(now, || self.clock.suspended());
-            absence.inspect(|a| log_stall(&self.settings.name, a));
-            if self.stops_at.is_some_and(|t| now >= t && !self.relay.has_pending()) {
+            self.on_tick(now);
+            let stall = self.stall_detector.check(now, || self.clock.suspended());
+            stall.inspect(|a| log_stall(&self.settings.name, a));
+            if self.stop_at.is_some_and(|t| now >= t && !self.relay.has_pending()) {
                 break;
             }
         }
-        sleep(LAST_ANSWERS.duration()).await;
+        sleep(FINAL_ANSWERS_TIME.duration()).await;
         tell(&kinds::NODE_STOPPED, &self.settings.name, "");
     }
 
-    fn take(&mut self, now: Millis, event: Event) {
+    fn on_event(&mut self, now: Millis, event: Event) {
         match event {
             Event::Packet(Ok(packet)) => self.on_packet(now, packet),
-            Event::Packet(Err(e)) => tell_unreadable(&e),
-            Event::Arrival(Arrival::Call { call, patience, tx }) => {
-                let token = self.relay.accept(now, call.clone(), patience);
-                self.waiters.add(token, now, &call, tx);
+            Event::Packet(Err(e)) => log_unreadable(&e),
+            Event::Inbound(InboundEvent::Call { call, max_wait, tx }) => {
+                let token = self.relay.accept(now, call.clone(), max_wait);
+                self.pending_calls.add(token, now, &call, tx);
             }
-            Event::Arrival(Arrival::Signal(signal)) => self.on_signal(now, signal),
-            // Workers call control instances only.
-            Event::Arrival(
-                Arrival::Announcement(_) | Arrival::Leaving { .. } | Arrival::Left(_),
+            Event::Inbound(InboundEvent::Signal(signal)) => self.on_signal(now, signal),
+            // Workers call only control instances.
+            Event::Inbound(
+                InboundEvent::Announcement(_)
+                | InboundEvent::Leaving { .. }
+                | InboundEvent::Left(_),
             ) => {}
             Event::Advised { to, message } => self.links.send(&to, 0, message),
         }
@@ -148,15 +152,15 @@
             Signal::Stop => {
                 begin_stop(&self.settings, &self.handle);
                 let ends_at = now + self.settings.grace.since(STOP_MARGIN);
-                self.stops_at.get_or_insert(ends_at);
+                self.stop_at.get_or_insert(ends_at);
             }
         }
     }
 
-    /// Takes in settings that have changed.
+    /// Applies the settings if they have changed.
     fn read_settings(&mut self, now: Millis) {
         if let Some(settings) = (self.reload)() {
-            tell_reload(&settings);
+            log_reload(&settings);
             self.peers.set_seeds(settings.seeds, now);
         }
     }
@@ -167,7 +171,7 @@
             Message::Welcome { leader, term, controls, voters } => {
                 self.peers.set_voters(term, voters);
                 if self.peers.on_welcome(&packet.from, leader, term, &controls, now) {
-                    tell_leader(&packet.from, term);
+                    log_leader(&packet.from, term);
                     self.relay.leader_changed(now);
                 }
             }
@@ -178,11 +182,12 @@
             Message::AdviceRequest { id, step, workers } => {
                 let events = self.events.clone();
                 let call = AdviceCall { leader: packet.from, id, step, workers };
-                // The process ends soon if nobody listens.
-                let hand_on = move |to, message| drop(events.send(Event::Advised { to, message }));
-                spawn_advice(&self.ports, call, hand_on);
+                // The send fails only if the process is about to exit.
+                let on_response =
+                    move |to, message| drop(events.send(Event::Advised { to, message }));
+                spawn_advice_call(&self.ports, call, on_response);
             }
-            // Meant for control instances.
+            // Only control instances receive these.
             Message::Log(_)
             | Message::Hello { .. }
             | Message::Call { .. }
@@ -193,10 +198,10 @@
         }
     }
 
-    fn tend(&mut self, now: Millis) {
+    fn on_tick(&mut self, now: Millis) {
         sync_links(&self.links, &mut self.peers, now);
-        if now >= self.read_at {
-            self.read_at = now + READ_SETTINGS_EVERY;
+        if now >= self.next_settings_read_at {
+            self.next_settings_read_at = now + SETTINGS_READ_INTERVAL;
             self.read_settings(now);
         }
         for (to, hello) in self.peers.due_hellos(now) {
@@ -212,7 +217,8 @@
         }
         self.handle.set_ready(connected);
         self.relay.set_reachability(now, reach);
-        // What is sent without reach is lost, and its caller would not know what became of it.
+        // Without a majority of the voters a call would be lost, and its caller would not know whether it was
+        // carried out.
         let leader = self.peers.leader(now).filter(|_| reach == Reachability::Majority);
         let actions = self.relay.tick(now, leader);
         self.perform(now, actions);
@@ -222,7 +228,7 @@
         for action in actions {
             match action {
                 RelayAction::Send(to, message) => self.links.send(&to, 0, message),
-                RelayAction::Answer(token, answer) => self.waiters.answer(now, token, answer),
+                RelayAction::Answer(token, answer) => self.pending_calls.answer(now, token, answer),
             }
         }
     }
--- a/components/node/src/leader_term.rs
+++ b/components/node/src/leader_term.rs
@@ -1,4 +1,4 @@
-//! What a control instance holds for the term in which it leads.
+//! The state of a control instance for the term in which it leads.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,20 +6,20 @@
 use dispatch::Dispatcher;
 use model::InstanceId;
 
-/// Where the answer to a call at the leader goes.
-pub(crate) enum Asker {
+/// The origin of a call at the leader, which gets the answer.
+pub(crate) enum CallOrigin {
     Peer { id: InstanceId, token: u64 },
-    Own(u64),
+    Local(u64),
 }
 
-/// A term in which this instance leads. It is dropped as a whole when the term ends, so that nothing
-/// of it reaches a later one.
+/// The state of a term in which this instance leads. It is dropped as a whole when the term ends, so that
+/// nothing carries over to a later term.
 pub(crate) struct LeaderTerm {
     pub(crate) term: u64,
     pub(crate) dispatcher: Dispatcher,
-    askers: BTreeMap<u64, Asker>,
+    call_origins: BTreeMap<u64, CallOrigin>,
     last_token: u64,
-    /// When the batches under way were proposed.
+    /// The proposed batches that are not committed, with the time of their proposal.
     proposed_at: VecDeque<(u64, Millis)>,
 }
 
@@ -28,31 +28,31 @@
         LeaderTerm {
             term,
             dispatcher,
-            askers: BTreeMap::new(),
+            call_origins: BTreeMap::new(),
             last_token: 0,
             proposed_at: VecDeque::new(),
         }
     }
 
-    /// Remembers who asks, and gives the dispatcher's token for the call: tokens of different askers
-    /// may be the same.
-    pub(crate) fn add_asker(&mut self, asker: Asker) -> u64 {
+    /// Records the origin of a call and returns the dispatcher's token for it. The origins' own tokens would not
+    /// do, as two instances may use the same one.
+    pub(crate) fn add_call(&mut self, origin: CallOrigin) -> u64 {
         self.last_token += 1;
-        self.askers.insert(self.last_token, asker);
+        self.call_origins.insert(self.last_token, origin);
         self.last_token
     }
 
-    /// Takes out who waits for the answer to a call.
-    pub(crate) fn take_asker(&mut self, token: u64) -> Option<Asker> {
-        self.askers.remove(&token)
+    /// Removes a call and returns its origin.
+    pub(crate) fn take_call(&mut self, token: u64) -> Option<CallOrigin> {
+        self.call_origins.remove(&token)
     }
 
-    pub(crate) fn note_proposed(&mut self, now: Millis, batch: u64) {
+    pub(crate) fn record_proposed(&mut self, now: Millis, batch: u64) {
         self.proposed_at.push_back((batch, now));
     }
 
-    /// Takes out the oldest batch under way if it is committed together with `batch`, and gives when
-    /// it was proposed.
+    /// Removes the oldest uncommitted batch if it is `batch` or an earlier one, and returns when it was
+    /// proposed.
     pub(crate) fn pop_committed(&mut self, batch: u64) -> Option<Millis> {
         let (oldest, at) = *self.proposed_at.front()?;
         if oldest > batch {
--- a/components/node/src/leadership.rs
+++ b/components/node/src/leadership.rs
@@ -1,5 +1,5 @@
-//! What a control instance does while it leads: it feeds the dispatcher, does what that wants done,
-//! and answers the calls of all instances.
+//! The duties of a control instance while it leads: it passes inputs to the dispatcher, executes the
+//! dispatcher's actions, and answers the calls of all instances.
 
 use std::collections::BTreeMap;
 
@@ -8,27 +8,29 @@
 use events::{kinds, tell};
 use model::{InstanceId, Name};
 
-use crate::control::Control;
+use crate::control::ControlInstance;
 use crate::control_event::ControlEvent;
-use crate::leader_term::{Asker, LeaderTerm};
+use crate::leader_term::{CallOrigin, LeaderTerm};
 use crate::log_thread::LogInput;
 use crate::message::Message;
 use crate::ports::LocalFuture;
-use crate::timing::TICK;
+use crate::timing::TICK_INTERVAL;
 
-/// The workers of each service that get nothing for a while since they fail what they run.
-const WORKERS_ASIDE: &str = "heathvale_workers_aside";
-/// What each organisation has running, and may have, in thousandths of a core.
+/// The gauge of quarantined workers by service: they get no tasks for a while as their runs fail.
+const QUARANTINED_WORKERS: &str = "heathvale_workers_aside";
+/// The gauges of used and permitted processor capacity by organisation, in thousandths of a core.
 const ORGANISATION_USED: &str = "heathvale_organisation_cpu_millis_used";
 const ORGANISATION_LIMIT: &str = "heathvale_organisation_cpu_millis_limit";
-/// The steps of each organisation that wait, and those of them that its limit holds back.
+/// The gauges of waiting steps by organisation, and of those that the organisation's limit holds back.
 const ORGANISATION_OPEN: &str = "heathvale_organisation_open_steps";
-const ORGANISATION_HELD: &str = "heathvale_organisation_steps_at_limit";
-/// The tasks of each service that last and wait for a worker.
-const LASTING_WAITING: &str = "heathvale_lasting_waiting";
+const ORGANISATION_AT_LIMIT: &str = "heathvale_organisation_steps_at_limit";
+/// The gauge of long-running tasks that wait for a worker, by service.
+const LONG_RUNNING_WAITING: &str = "heathvale_lasting_waiting";
 
-impl Control {
-    pub(crate) fn lead(&mut self, term: u64, replicated: workload::ReplicatedState) {
+impl ControlInstance {
+    /// Starts leading: creates a dispatcher from the replicated state, gives it the recent announcements of
+    /// workers and notifies all other instances.
+    pub(crate) fn begin_term(&mut self, term: u64, replicated: workload::ReplicatedState) {
         let (jobs, workers) = (replicated.jobs().len(), replicated.workers().len());
         let details = format!("term={term} jobs={jobs} workers={workers}");
         tell(&kinds::TERM_BEGUN, &self.settings.name, &details);
@@ -36,29 +38,32 @@
         let setup =
             Setup { limits: self.settings.limits, term, reader: self.reader.clone(), replicated };
         let dispatcher = Dispatcher::new(setup, m);
-        self.leading = Some(LeaderTerm::new(term, dispatcher));
+        self.leader_term = Some(LeaderTerm::new(term, dispatcher));
         self.peers.update_leader(self.settings.id(), term, m.now);
         self.relay.leader_changed(m.now);
-        let news = self.news.fresh(m.now);
-        news.into_iter().for_each(|news| self.feed(Input::Announcement(news)));
+        let announcement = self.recent_announcements.recent(m.now);
+        announcement
+            .into_iter()
+            .for_each(|announcement| self.handle_input(Input::Announcement(announcement)));
         let welcome = self.welcome();
         for id in self.peers.ids() {
             self.links.send(id, 0, welcome.clone());
         }
     }
 
-    pub(crate) fn measure_commit(&mut self, now: Millis, batch: u64) {
-        let Some(leading) = &mut self.leading else { return };
-        while let Some(at) = leading.pop_committed(batch) {
+    /// Records the commit latency of `batch` and of earlier batches that were committed with it.
+    pub(crate) fn record_commit_latency(&mut self, now: Millis, batch: u64) {
+        let Some(leader_term) = &mut self.leader_term else { return };
+        while let Some(at) = leader_term.pop_committed(batch) {
             self.metrics.note_ms("heathvale_commit_seconds", now.since(at).0);
         }
     }
 
-    /// Tells what the leader has to do with at the moment.
-    pub(crate) fn measure_book(&self) {
-        let Some(leading) = &self.leading else { return };
-        let figures = leading.dispatcher.figures();
-        self.metrics.set("heathvale_term", leading.term);
+    /// Sets the leader's gauges and logs its current load.
+    pub(crate) fn report_load(&self) {
+        let Some(leader_term) = &self.leader_term else { return };
+        let figures = leader_term.dispatcher.figures();
+        self.metrics.set("heathvale_term", leader_term.term);
         self.metrics.set("heathvale_jobs", figures.jobs);
         self.metrics.set("heathvale_open_steps", figures.open_steps);
         self.metrics.set("heathvale_runs", figures.runs);
@@ -74,12 +79,13 @@
         self.metrics.set("heathvale_advice_callers_busy", figures.advice_callers_busy);
         self.metrics.set("heathvale_steps_without_caller", figures.steps_without_caller);
         self.metrics.set("heathvale_steps_without_look", figures.steps_not_examined);
-        let of = leading.dispatcher.service_figures();
-        let aside = of.iter().map(|(service, f)| (service.clone(), f.quarantined_workers));
-        self.metrics.set_by_service(WORKERS_ASIDE, aside.collect());
-        let waiting = of.iter().map(|(service, f)| (service.clone(), f.long_running_waiting));
-        self.metrics.set_by_service(LASTING_WAITING, waiting.collect());
-        self.measure_organisations(&leading.dispatcher.organisation_figures());
+        let services = leader_term.dispatcher.service_figures();
+        let quarantined =
+            services.iter().map(|(service, f)| (service.clone(), f.quarantined_workers));
+        self.metrics.set_by_service(QUARANTINED_WORKERS, quarantined.collect());
+        let waiting = services.iter().map(|(service, f)| (service.clone(), f.long_running_waiting));
+        self.metrics.set_by_service(LONG_RUNNING_WAITING, waiting.collect());
+        self.record_organisation_gauges(&leader_term.dispatcher.organisation_figures());
         let connections = self.ports.workers.connections();
         self.metrics.set("heathvale_connections_open", connections.open as u64);
         self.metrics.set("heathvale_connections_limit", connections.limit as u64);
@@ -109,72 +115,74 @@
         tell(&kinds::LOAD_TOLD, &self.settings.name, &details);
     }
 
-    fn measure_organisations(&self, of: &BTreeMap<Name, OrganisationFigures>) {
+    fn record_organisation_gauges(&self, figures: &BTreeMap<Name, OrganisationFigures>) {
         let gauge = |name: &'static str, value: fn(&OrganisationFigures) -> u64| {
-            let values = of.iter().map(|(organisation, f)| (organisation.clone(), value(f)));
+            let values = figures.iter().map(|(organisation, f)| (organisation.clone(), value(f)));
             self.metrics.set_by_organisation(name, values.collect());
         };
         gauge(ORGANISATION_USED, |f| f.used.cpu_milli);
         gauge(ORGANISATION_LIMIT, |f| f.limit.cpu_milli);
         gauge(ORGANISATION_OPEN, |f| f.open_steps);
-        gauge(ORGANISATION_HELD, |f| f.steps_at_limit);
+        gauge(ORGANISATION_AT_LIMIT, |f| f.steps_at_limit);
     }
 
-    /// Tells no more of what only a leader knows, so that no alert stands on what was.
-    pub(crate) fn forget_services(&self) {
-        self.metrics.set_by_service(WORKERS_ASIDE, BTreeMap::new());
-        self.metrics.set_by_service(LASTING_WAITING, BTreeMap::new());
-        self.measure_organisations(&BTreeMap::new());
+    /// Clears the gauges that only a leader sets, so that no alert is based on outdated values.
+    pub(crate) fn clear_leader_gauges(&self) {
+        self.metrics.set_by_service(QUARANTINED_WORKERS, BTreeMap::new());
+        self.metrics.set_by_service(LONG_RUNNING_WAITING, BTreeMap::new());
+        self.record_organisation_gauges(&BTreeMap::new());
     }
 
+    /// Passes a call to the dispatcher, or rejects it if this instance does not lead.
     pub(crate) fn on_call(&mut self, from: InstanceId, token: u64, call: dispatch::Call) {
-        let asker = match from == self.settings.id() {
-            true => Asker::Own(token),
-            false => Asker::Peer { id: from, token },
+        let origin = match from == self.settings.id() {
+            true => CallOrigin::Local(token),
+            false => CallOrigin::Peer { id: from, token },
         };
-        let Some(leading) = &mut self.leading else {
-            let retry_after = TICK;
-            self.answer(asker, Answer::NotDone { retry_after });
+        let Some(leader_term) = &mut self.leader_term else {
+            let retry_after = TICK_INTERVAL;
+            self.answer(origin, Answer::NotDone { retry_after });
             return;
         };
-        let token = leading.add_asker(asker);
-        self.feed(Input::Call { token, call });
+        let token = leader_term.add_call(origin);
+        self.handle_input(Input::Call { token, call });
     }
 
-    pub(crate) fn answer(&mut self, asker: Asker, answer: Answer) {
-        match asker {
-            Asker::Peer { id, token } => {
+    /// Sends an answer to the instance that the call came from.
+    pub(crate) fn answer(&mut self, origin: CallOrigin, answer: Answer) {
+        match origin {
+            CallOrigin::Peer { id, token } => {
                 self.links.send(&id, 0, Message::Answer { token, answer });
             }
-            Asker::Own(token) => {
+            CallOrigin::Local(token) => {
                 let action = self.relay.on_answer(self.clock.now(), token, answer);
                 self.perform(action.into_iter().collect());
             }
         }
     }
 
-    /// Has the dispatcher decide, and does what it wants done.
+    /// Lets the dispatcher decide, proposes its batch of commands and executes its actions.
     pub(crate) fn decide(&mut self) {
         let m = self.moment();
-        let Some(leading) = &mut self.leading else { return };
-        let (batch, actions) = leading.dispatcher.decide(m);
-        let term = leading.term;
+        let Some(leader_term) = &mut self.leader_term else { return };
+        let (batch, actions) = leader_term.dispatcher.decide(m);
+        let term = leader_term.term;
         if let Some((batch, commands)) = batch {
             self.metrics.add("heathvale_commands_total", "proposed", commands.len() as u64);
-            leading.note_proposed(m.now, batch);
+            leader_term.record_proposed(m.now, batch);
             self.log.send(LogInput::Propose { term, batch, commands });
         }
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Reply { token, answer } => {
-                let asker = self.leading.as_mut().and_then(|l| l.take_asker(token));
-                if let Some(asker) = asker {
-                    self.answer(asker, answer);
+                let origin = self.leader_term.as_mut().and_then(|l| l.take_call(token));
+                if let Some(origin) = origin {
+                    self.answer(origin, answer);
                 }
             }
             Action::Renew { worker, address, order } => {
@@ -192,18 +200,18 @@
                 let call = self.ports.workers.stop(&worker, &address, order);
                 self.spawn_call(call, move |result| Input::Stopped { worker, task, run, result });
             }
-            Action::RequestAdvice(ask) if ask.caller == self.settings.id() => {
-                let call = self.ports.advice.request(ask.step, ask.workers);
-                let id = ask.id;
+            Action::RequestAdvice(request) if request.caller == self.settings.id() => {
+                let call = self.ports.advice.request(request.step, request.workers);
+                let id = request.id;
                 self.spawn_call(call, move |advice| Input::Advised {
                     id,
                     valid: advice.as_ref().and_then(|a| a.valid),
                     allowed: advice.map(|a| a.allowed),
                 });
             }
-            Action::RequestAdvice(ask) => {
-                let (id, step, workers) = (ask.id, ask.step, ask.workers);
-                self.links.send(&ask.caller, 0, Message::AdviceRequest { id, step, workers });
+            Action::RequestAdvice(request) => {
+                let (id, step, workers) = (request.id, request.step, request.workers);
+                self.links.send(&request.caller, 0, Message::AdviceRequest { id, step, workers });
             }
             Action::CountCrash { service } => {
                 self.metrics.add_for_service("heathvale_worker_crashes_total", &service, 1);
@@ -215,16 +223,17 @@
         }
     }
 
+    /// Runs a call in the background and sends its result as an event of the current term.
     fn spawn_call<T: 'static>(
         &self,
         call: LocalFuture<T>,
         wrap: impl FnOnce(T) -> Input + 'static,
     ) {
-        let Some(term) = self.leading.as_ref().map(|l| l.term) else { return };
+        let Some(term) = self.leader_term.as_ref().map(|l| l.term) else { return };
         let events = self.events.clone();
         ntex::rt::spawn(async move {
             let input = wrap(call.await);
-            // The process ends soon if nobody listens.
+            // The send fails only if the process is about to exit.
             let _ = events.send(ControlEvent::Called { term, input });
         });
     }
--- a/components/node/src/leaving_workers.rs
+++ b/components/node/src/leaving_workers.rs
@@ -1,41 +1,41 @@
-//! Workers that are leaving, and who waits for the leader to know of it.
+//! Workers that are leaving and wait for the leader's acknowledgement.
 //!
-//! An announcement of leaving is acknowledged only once the leader has taken it in. Messages between
-//! instances may be lost, or wait behind a backlog: acknowledged at once, a worker was given new work for
-//! seconds, which ended with it.
+//! An announcement of leaving is acknowledged only after the leader has processed it. Messages between
+//! instances may be lost or wait behind a backlog: when announcements were acknowledged immediately, a
+//! worker got new tasks for seconds, which were lost when it left.
 
 use std::collections::BTreeMap;
 
 use tokio::sync::oneshot;
 use workload::WorkerId;
 
-/// The announcements whose taking in is awaited.
+/// The announcements of leaving that await the leader's acknowledgement.
 #[derive(Debug, Default)]
 pub(crate) struct LeavingAcknowledgements {
     by_worker: BTreeMap<WorkerId, Vec<(u64, oneshot::Sender<()>)>>,
 }
 
 impl LeavingAcknowledgements {
-    /// Has an announcement with this number awaited.
+    /// Registers `tx` to be notified when the leader acknowledges the announcement with this number.
     pub(crate) fn add(&mut self, worker: WorkerId, number: u64, tx: oneshot::Sender<()>) {
         self.by_worker.entry(worker).or_default().push((number, tx));
     }
 
-    /// Takes in that the leader knows of an announcement, and so of earlier ones.
-    pub(crate) fn taken(&mut self, worker: &WorkerId, number: u64) {
+    /// Processes the leader's acknowledgement of an announcement, which covers earlier ones of the same worker.
+    pub(crate) fn acknowledge(&mut self, worker: &WorkerId, number: u64) {
         let Some(waits) = self.by_worker.remove(worker) else { return };
-        for (awaited, tx) in waits {
-            if awaited <= number {
-                // Whoever waited may have given up.
+        for (answer_awaited, tx) in waits {
+            if answer_awaited <= number {
+                // The receiver may have timed out.
                 let _ = tx.send(());
             } else {
-                self.add(worker.clone(), awaited, tx);
+                self.add(worker.clone(), answer_awaited, tx);
             }
         }
     }
 
-    /// Drops those whose callers have given up.
-    pub(crate) fn forget_closed(&mut self) {
+    /// Removes the entries whose receivers have timed out.
+    pub(crate) fn remove_closed(&mut self) {
         self.by_worker.retain(|_, waits| {
             waits.retain(|(_, tx)| !tx.is_closed());
             !waits.is_empty()
--- a/components/node/src/lib.rs
+++ b/components/node/src/lib.rs
@@ -1,8 +1,9 @@
-//! One process of a cell that finds its members by itself: an entry instance, which relays callers'
-//! calls, or a control instance, which keeps the log and may lead.
+//! One process of a cell that discovers its members by itself: an entry instance, which relays
+//! callers' calls, or a control instance, which stores the replicated log and may lead.
 //!
-//! The leader's [`dispatch::Dispatcher`] decides; this crate joins it to clocks, disks, links and
-//! the outside, which it knows only through [`ports`]. docs/design/platform.md has the picture.
+//! The leader's [`dispatch::Dispatcher`] makes the decisions. This crate connects it to clocks,
+//! disks, links and external services, which it accesses only through [`ports`].
+//! docs/design/platform.md gives an overview.
 
 mod advice_calls;
 mod control;
--- a/components/node/src/log_store.rs
+++ b/components/node/src/log_store.rs
@@ -1,5 +1,5 @@
-//! The disk of a control instance as the log's thread uses it: opened, read back, and opened again after
-//! it has failed.
+//! Opens the disk of a control instance for the log thread, restores its contents, and reopens it after a
+//! failure.
 
 use std::collections::BTreeSet;
 
@@ -12,15 +12,16 @@
 
 use crate::settings::NodeSettings;
 
-/// After what silence a voter is removed once others are enough. Longer than any planned absence.
-const SILENT_AFTER: Millis = Millis(8_000);
-/// After what silence a voter's place goes to a caught-up reserve: longer than any pause of a process
-/// that only waits for its processor, shorter than most restarts. A voter that comes back joins the
-/// reserve, so a change made too early costs three small entries.
-const REPLACE_AFTER: Millis = Millis(1_000);
-/// Heartbeats and elections: every tenth of a second without a leader makes jobs late. A process may
-/// go without its processor for a tenth of a second; a leader whose disk takes longer than the rest
-/// for a sync does better to lose its lead.
+/// After how long without contact a voter is removed if enough others remain. It exceeds any planned downtime;
+/// a smaller value would remove voters that are about to return.
+const REMOVE_SILENT_AFTER: Millis = Millis(8_000);
+/// After how long without contact a voter is replaced by a learner that has caught up: longer than a process
+/// ever waits for a processor, shorter than most restarts. A voter that returns becomes a learner, so a
+/// replacement made too early costs three small entries.
+const REPLACE_SILENT_AFTER: Millis = Millis(1_000);
+/// The intervals of heartbeats and elections. Longer ones make jobs late, as nothing is decided without a
+/// leader. Shorter ones depose a leader that waits for a processor, which may take a tenth of a second. A
+/// leader whose disk needs longer than the rest of the interval for a sync should be replaced.
 const TIMING: Timing = Timing {
     heartbeat: Millis(50),
     election_min: Millis(250),
@@ -28,36 +29,36 @@
     drift_percent: 5,
 };
 
-/// A disk that is open and was read back.
+/// An opened disk with its restored contents.
 pub(crate) struct OpenedLog {
     pub(crate) replica: Replica,
     pub(crate) replicated: ReplicatedState,
-    /// The index of the last entry that the book holds.
+    /// The index of the last entry that is applied to the replicated state.
     pub(crate) applied: u64,
-    /// The disk's number.
+    /// The disk's incarnation.
     pub(crate) disk: Incarnation,
-    /// How many torn bytes were cut from the log's end.
-    pub(crate) cut: u64,
-    /// How many bytes the snapshot holds.
+    /// How many bytes of an incomplete record were truncated from the end of the log.
+    pub(crate) truncated_bytes: u64,
+    /// The size of the snapshot, in bytes.
     pub(crate) snapshot_bytes: usize,
-    /// How many entries were read back behind it.
+    /// How many entries after the snapshot were restored.
     pub(crate) entries: usize,
 }
 
-/// Opens the disk and reads back what it remembers.
+/// Opens the disk and restores its contents.
 ///
 /// # Errors
-/// If the disk cannot be used.
+/// Fails if the disk cannot be used.
 pub(crate) fn open(settings: &NodeSettings, clock: &SystemClock) -> Result<OpenedLog> {
     let mut disk: Box<dyn Disk> = Box::new(MemoryDisk);
     let mut incarnation = Incarnation(rand::random());
     let mut restored = Restored::default();
-    let mut cut = 0;
+    let mut truncated_bytes = 0;
     if let Some(path) = &settings.data_folder {
         let folder = DataFolder::open(path)?;
         incarnation = Incarnation(folder.incarnation());
         let (file, found) = FileDisk::open(folder)?;
-        cut = file.truncated_bytes();
+        truncated_bytes = file.truncated_bytes();
         disk = Box::new(file);
         restored = found;
     }
@@ -68,8 +69,8 @@
         contacts: settings.seeds.clone(),
         observers: BTreeSet::new(),
         keep_voters: settings.keep_voters,
-        remove_silent_after: Some(SILENT_AFTER),
-        replace_silent_after: Some(REPLACE_AFTER),
+        remove_silent_after: Some(REMOVE_SILENT_AFTER),
+        replace_silent_after: Some(REPLACE_SILENT_AFTER),
         timing: TIMING,
         seed: rand::random(),
     };
@@ -77,21 +78,31 @@
     let applied = restored.snapshot.last_index;
     let (snapshot_bytes, entries) = (restored.snapshot.data.len(), restored.entries.len());
     let replica = Replica::new(Node::new(cfg, restored, clock.now()), disk);
-    Ok(OpenedLog { replica, replicated, applied, disk: incarnation, cut, snapshot_bytes, entries })
+    Ok(OpenedLog {
+        replica,
+        replicated,
+        applied,
+        disk: incarnation,
+        truncated_bytes,
+        snapshot_bytes,
+        entries,
+    })
 }
 
-/// Opens a disk that has failed. What reads back may lie in the kernel's memory alone, as a sync that
-/// failed once says nothing of later ones, so all of it is written anew before it counts.
+/// Reopens a disk that has failed. After a failed sync, data that can be read may exist only in the kernel's
+/// page cache, and a later successful sync does not prove the opposite. So everything is rewritten before it
+/// counts as durable.
 ///
 /// # Errors
-/// If the disk cannot be used yet.
-pub(crate) fn open_again(settings: &NodeSettings, clock: &SystemClock) -> Result<OpenedLog> {
+/// Fails if the disk cannot be used yet.
+pub(crate) fn reopen(settings: &NodeSettings, clock: &SystemClock) -> Result<OpenedLog> {
     let mut opened = open(settings, clock)?;
     opened.replica.rewrite()?;
     Ok(opened)
 }
 
-/// Tells whether a failure may pass by itself: no room, no descriptor. A damaged log does not.
-pub(crate) fn may_pass(e: &Error) -> bool {
+/// Returns whether a failure may be transient, such as a full disk or missing file descriptors. A damaged log
+/// is not.
+pub(crate) fn is_transient(e: &Error) -> bool {
     matches!(e, Error::Io { .. })
 }
--- a/components/node/src/log_thread.rs
+++ b/components/node/src/log_thread.rs
@@ -1,5 +1,5 @@
-//! The thread that keeps the replicated log. Syncing a disk takes milliseconds, so it happens here
-//! and nothing else waits for it; what comes in meanwhile is synced together next time.
+//! The thread that maintains the replicated log. Syncing a disk takes milliseconds, so it happens on a thread
+//! of its own that blocks nothing else. Inputs that arrive during a sync are synced together by the next one.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -19,73 +19,74 @@
 use crate::message::Message;
 use crate::settings::NodeSettings;
 
-/// How often time passes for the log when nothing happens.
-const TICK: Millis = Millis(25);
-/// How many entries may lie behind the last snapshot. Reading them back takes well under a second.
-const COMPACT_AFTER: usize = 4_000;
-/// The pause between two tries to use a disk that has failed. A full disk mostly has room again within
-/// seconds, and a try costs reading the log back.
-pub(crate) const DISK_RETRY: Millis = Millis(500);
+/// The interval of the log's ticks when no input arrives.
+const TICK_INTERVAL: Millis = Millis(25);
+/// How many entries the log may hold after the last snapshot. Restoring them takes well under a second; more
+/// would delay a restart.
+const MAX_LOG_ENTRIES: usize = 4_000;
+/// The pause between two attempts to use a disk that has failed. A full disk mostly has free space again
+/// within seconds, and each attempt reads the whole log.
+pub(crate) const DISK_RETRY_INTERVAL: Millis = Millis(500);
 
-/// What the log takes in.
+/// An input to the log thread.
 pub(crate) enum LogInput {
-    /// Another member's message.
+    /// A message of another member.
     Message(Envelope),
-    /// The leader's dispatcher has a batch.
+    /// A batch of commands of the leader's dispatcher.
     Propose { term: u64, batch: u64, commands: Vec<Command> },
-    /// An instance wants to be a member.
+    /// An instance that wants to become a member.
     Admit { id: InstanceId, disk: Incarnation },
     /// Instances that may know the cell.
     Contacts(Vec<InstanceId>),
-    /// Lead no more, for a planned stop.
+    /// A request to hand over leadership, for a planned stop.
     HandOver,
 }
 
-/// What the log tells.
+/// An event from the log thread.
 pub(crate) enum LogEvent {
-    /// This instance leads, and this is everything committed up to there.
-    Leads { term: u64, replicated: Box<ReplicatedState> },
+    /// This instance became the leader; `replicated` is the committed state at that point.
+    LeadershipGained { term: u64, replicated: Box<ReplicatedState> },
     /// Every batch up to this one is committed.
     Committed { term: u64, batch: u64 },
-    /// This instance leads no more.
-    Deposed { term: u64, why: String },
-    /// Somebody leads, maybe this instance.
-    Leader { term: u64, leader: InstanceId },
-    /// The members changed, or this is what they were at the start.
-    Members { voters: Vec<InstanceId>, learners: usize },
-    /// The disk cannot be used; the instance takes no part in the log until it can.
+    /// This instance no longer leads.
+    LeadershipLost { term: u64, reason: String },
+    /// An instance leads, possibly this one.
+    LeaderChanged { term: u64, leader: InstanceId },
+    /// The members changed, or were restored at the start.
+    MembersChanged { voters: Vec<InstanceId>, learners: usize },
+    /// The disk cannot be used; until it can, the instance does not participate in the log.
     DiskFailed(Error),
-    /// The disk can be used again, after so long.
-    DiskBack(Millis),
-    /// The log cannot be used and will not be, so the process must end.
+    /// The disk can be used again, after the given time.
+    DiskRecovered(Millis),
+    /// The log is permanently unusable, so the process must exit.
     Failed(Error),
 }
 
-/// The way to the log.
+/// The handle to the log thread.
 pub(crate) struct LogHandle {
     tx: Sender<LogInput>,
     leads_until: Arc<AtomicU64>,
-    /// The disk that this instance votes by.
+    /// The incarnation of the disk, under which this instance votes.
     pub(crate) disk: Incarnation,
 }
 
 impl LogHandle {
-    /// Hands the log something to take in.
+    /// Sends an input to the log thread.
     pub(crate) fn send(&self, input: LogInput) {
-        // The thread ends only when its disk fails, which it has told.
+        // The thread ends only when its disk has failed permanently, which it has reported.
         let _ = self.tx.send(input);
     }
 
-    /// Gives until when nobody else can lead.
+    /// Returns until when this instance leads and no other one can.
     pub(crate) fn leads_until(&self) -> Millis {
         Millis(self.leads_until.load(Ordering::Acquire))
     }
 }
 
-/// Starts the thread.
+/// Starts the log thread.
 ///
 /// # Errors
-/// [`Error::Refused`] if no thread can be had.
+/// Returns [`Error::Refused`] if the thread cannot be started.
 pub(crate) fn spawn(
     opened: OpenedLog,
     settings: NodeSettings,
@@ -101,16 +102,16 @@
         replicated: opened.replicated,
         applied: opened.applied,
         settings,
-        failed_at: Millis::ZERO,
-        retry_at: Millis::ZERO,
+        disk_failed_at: Millis::ZERO,
+        next_disk_retry_at: Millis::ZERO,
         clock,
         links,
         events,
         leads_until: leads_until.clone(),
         proposed: VecDeque::new(),
-        leads: None,
-        told_leader: None,
-        ended: false,
+        leading_term: None,
+        reported_leader: None,
+        failed: false,
     };
     thread::Builder::new()
         .name("log".into())
@@ -120,41 +121,42 @@
 }
 
 struct LogThread {
-    /// The member with its disk; nothing while the disk cannot be used.
+    /// The member with its disk; `None` while the disk cannot be used.
     replica: Option<Replica>,
-    /// What is committed.
+    /// The committed state.
     replicated: ReplicatedState,
     applied: u64,
     settings: NodeSettings,
-    /// When the disk failed, and when it is tried again.
-    failed_at: Millis,
-    retry_at: Millis,
+    /// When the disk failed.
+    disk_failed_at: Millis,
+    /// When the next attempt to use the disk is made.
+    next_disk_retry_at: Millis,
     clock: Arc<SystemClock>,
     links: Arc<Links>,
     events: UnboundedSender<LogEvent>,
     leads_until: Arc<AtomicU64>,
-    /// The batches of this term that are not committed, by the index of their entries.
+    /// The uncommitted batches of this term, each with the index of its entry.
     proposed: VecDeque<(u64, u64)>,
-    /// The term in which the dispatcher was told that it leads.
-    leads: Option<u64>,
-    told_leader: Option<(u64, InstanceId)>,
-    /// Whether the log cannot be used any more.
-    ended: bool,
+    /// The term for which this instance's leadership was reported.
+    leading_term: Option<u64>,
+    reported_leader: Option<(u64, InstanceId)>,
+    /// Whether the log is permanently unusable.
+    failed: bool,
 }
 
 impl LogThread {
     fn run(mut self, rx: &Receiver<LogInput>) {
         let mut tick_at = Millis::ZERO;
         if let Some(replica) = &self.replica {
-            self.tell_members(replica.node().membership());
+            self.report_members(replica.node().membership());
         }
-        while !self.ended {
+        while !self.failed {
             let wait = tick_at.since(self.clock.now());
             match rx.recv_timeout(wait.duration()) {
                 Ok(input) => {
-                    self.take(input);
+                    self.on_input(input);
                     while let Ok(input) = rx.try_recv() {
-                        self.take(input);
+                        self.on_input(input);
                     }
                 }
                 Err(RecvTimeoutError::Timeout) => {}
@@ -162,10 +164,10 @@
             }
             let now = self.clock.now();
             if now >= tick_at {
-                tick_at = now + TICK;
+                tick_at = now + TICK_INTERVAL;
                 match &mut self.replica {
                     Some(replica) => replica.tick(now),
-                    None => self.try_disk(now),
+                    None => self.reopen_disk(now),
                 }
             }
             if let Err(e) = self.flush() {
@@ -174,52 +176,56 @@
         }
     }
 
-    /// Drops the member whose disk has failed, with all that it had not synced. To the others the
-    /// instance falls silent, as if its process had ended; nothing is acknowledged until the disk is back.
+    /// Drops the member whose disk has failed, with everything that was not synced. To the other members the
+    /// instance appears to be down; nothing is acknowledged until the disk has recovered.
     fn disk_failed(&mut self, e: Error) {
-        self.depose("the disk failed");
+        self.lose_leadership("the disk failed");
         self.replica = None;
-        self.failed_at = self.clock.now();
-        self.retry_at = self.failed_at + DISK_RETRY;
-        self.ended = !log_store::may_pass(&e);
-        self.tell(if self.ended { LogEvent::Failed(e) } else { LogEvent::DiskFailed(e) });
+        self.disk_failed_at = self.clock.now();
+        self.next_disk_retry_at = self.disk_failed_at + DISK_RETRY_INTERVAL;
+        self.failed = !log_store::is_transient(&e);
+        self.send_event(if self.failed { LogEvent::Failed(e) } else { LogEvent::DiskFailed(e) });
     }
 
-    /// Begins anew from the disk once it can be used again.
-    fn try_disk(&mut self, now: Millis) {
-        if now < self.retry_at {
+    /// Restores the member from the disk once it can be used again.
+    fn reopen_disk(&mut self, now: Millis) {
+        if now < self.next_disk_retry_at {
             return;
         }
-        match log_store::open_again(&self.settings, &self.clock) {
+        match log_store::reopen(&self.settings, &self.clock) {
             Ok(opened) => {
                 self.replicated = opened.replicated;
                 self.applied = opened.applied;
-                self.tell_members(opened.replica.node().membership());
+                self.report_members(opened.replica.node().membership());
                 self.replica = Some(opened.replica);
-                self.told_leader = None;
-                self.tell(LogEvent::DiskBack(self.clock.now().since(self.failed_at)));
+                self.reported_leader = None;
+                self.send_event(LogEvent::DiskRecovered(
+                    self.clock.now().since(self.disk_failed_at),
+                ));
+            }
+            Err(e) if log_store::is_transient(&e) => {
+                self.next_disk_retry_at = self.clock.now() + DISK_RETRY_INTERVAL
             }
-            Err(e) if log_store::may_pass(&e) => self.retry_at = self.clock.now() + DISK_RETRY,
             Err(e) => {
-                self.ended = true;
-                self.tell(LogEvent::Failed(e));
+                self.failed = true;
+                self.send_event(LogEvent::Failed(e));
             }
         }
     }
 
-    fn tell(&self, event: LogEvent) {
-        // The process ends soon if nobody listens.
+    fn send_event(&self, event: LogEvent) {
+        // The send fails only if the process is about to exit.
         let _ = self.events.send(event);
     }
 
-    fn tell_members(&self, m: &Membership) {
+    fn report_members(&self, m: &Membership) {
         let voters = m.voters.keys().cloned().collect();
-        self.tell(LogEvent::Members { voters, learners: m.learners.len() });
+        self.send_event(LogEvent::MembersChanged { voters, learners: m.learners.len() });
     }
 
-    fn take(&mut self, input: LogInput) {
+    fn on_input(&mut self, input: LogInput) {
         let now = self.clock.now();
-        // Without a disk nothing can be promised, so everything is dropped; whoever sent it asks again.
+        // Without a disk nothing can be made durable, so all inputs are dropped; the senders will repeat them.
         let Some(replica) = &mut self.replica else { return };
         match input {
             LogInput::Message(envelope) => replica.receive(now, envelope),
@@ -233,45 +239,46 @@
     }
 
     fn propose(&mut self, now: Millis, term: u64, batch: u64, commands: &[Command]) {
-        let Some(replica) = self.replica.as_mut().filter(|_| self.leads == Some(term)) else {
+        let Some(replica) = self.replica.as_mut().filter(|_| self.leading_term == Some(term))
+        else {
             return;
         };
         let Ok(data) = postcard::to_allocvec(commands) else {
-            self.depose("a batch could not be written");
+            self.lose_leadership("a batch could not be written");
             return;
         };
         match replica.propose(now, data.into()) {
             Ok((index, in_term)) if in_term == term => self.proposed.push_back((index, batch)),
-            // Another term's leader knows nothing of this dispatcher's batches.
-            _ => self.depose("a proposal was refused"),
+            // The leader of another term does not know this dispatcher's batches.
+            _ => self.lose_leadership("a proposal was refused"),
         }
     }
 
-    fn depose(&mut self, why: &str) {
-        if let Some(term) = self.leads.take() {
+    fn lose_leadership(&mut self, reason: &str) {
+        if let Some(term) = self.leading_term.take() {
             self.proposed.clear();
             self.leads_until.store(0, Ordering::Release);
-            self.tell(LogEvent::Deposed { term, why: why.to_string() });
+            self.send_event(LogEvent::LeadershipLost { term, reason: reason.to_string() });
         }
     }
 
     fn flush(&mut self) -> Result<()> {
         let Some(replica) = &mut self.replica else { return Ok(()) };
         let ahead = replica.take_ready_before_sync();
-        self.act_on(ahead)?;
+        self.apply_flushed(ahead)?;
         let Some(replica) = &mut self.replica else { return Ok(()) };
         let flushed = replica.flush()?;
-        self.act_on(flushed)?;
+        self.apply_flushed(flushed)?;
         let Some(replica) = &mut self.replica else { return Ok(()) };
-        if replica.node().log_len() > COMPACT_AFTER && self.applied > 0 {
+        if replica.node().log_len() > MAX_LOG_ENTRIES && self.applied > 0 {
             let data = self.replicated.encode()?;
             replica.compact(self.applied, data.into())?;
         }
         Ok(())
     }
 
-    /// Sends and applies what may leave.
-    fn act_on(&mut self, flushed: Flushed) -> Result<()> {
+    /// Sends the messages, handles the notices and applies the committed entries of a flush.
+    fn apply_flushed(&mut self, flushed: Flushed) -> Result<()> {
         for envelope in flushed.messages {
             let to = envelope.to.clone();
             self.links.send(&to, 0, Message::Log(envelope));
@@ -280,21 +287,21 @@
             self.on_notice(notice);
         }
         for committed in flushed.committed {
-            self.apply(committed)?;
+            self.apply_committed(committed)?;
         }
-        self.announce();
+        self.report_changes();
         Ok(())
     }
 
     fn on_notice(&mut self, notice: Notice) {
         match notice {
-            Notice::Resigned { reason, .. } => self.depose(reason),
-            Notice::MembershipChanged(m) => self.tell_members(&m),
+            Notice::Resigned { reason, .. } => self.lose_leadership(reason),
+            Notice::MembershipChanged(m) => self.report_members(&m),
             Notice::Bootstrapped | Notice::BecameLeader { .. } => {}
         }
     }
 
-    fn apply(&mut self, committed: Committed) -> Result<()> {
+    fn apply_committed(&mut self, committed: Committed) -> Result<()> {
         match committed {
             Committed::Snapshot(snapshot) => {
                 self.replicated = ReplicatedState::decode(&snapshot.data)?;
@@ -315,35 +322,38 @@
         Ok(())
     }
 
-    /// Tells what has changed: who leads, and what is committed.
-    fn announce(&mut self) {
+    /// Reports changes of the leader and newly committed batches.
+    fn report_changes(&mut self) {
         let now = self.clock.now();
         let Some(replica) = &self.replica else { return };
         let node = replica.node();
-        let (term, until) = (node.term(), node.lease_until(now));
+        let (term, lease_until) = (node.term(), node.lease_until(now));
         if let Some(leader) = node.leader().cloned() {
-            let told = Some((term, leader.clone()));
-            if self.told_leader != told {
-                self.told_leader = told;
-                self.tell(LogEvent::Leader { term, leader });
+            let current = Some((term, leader.clone()));
+            if self.reported_leader != current {
+                self.reported_leader = current;
+                self.send_event(LogEvent::LeaderChanged { term, leader });
             }
         }
-        if self.leads.is_some_and(|t| t != term) {
-            self.depose("a newer term");
+        if self.leading_term.is_some_and(|t| t != term) {
+            self.lose_leadership("a newer term");
         }
-        if self.leads.is_none() && until > now {
-            self.leads = Some(term);
-            self.tell(LogEvent::Leads { term, replicated: Box::new(self.replicated.clone()) });
+        if self.leading_term.is_none() && lease_until > now {
+            self.leading_term = Some(term);
+            self.send_event(LogEvent::LeadershipGained {
+                term,
+                replicated: Box::new(self.replicated.clone()),
+            });
         }
-        if self.leads.is_some() {
-            self.leads_until.store(until.0, Ordering::Release);
+        if self.leading_term.is_some() {
+            self.leads_until.store(lease_until.0, Ordering::Release);
         }
-        let mut done = None;
+        let mut last_committed = None;
         while self.proposed.front().is_some_and(|(index, _)| *index <= self.applied) {
-            done = self.proposed.pop_front().map(|(_, batch)| batch);
+            last_committed = self.proposed.pop_front().map(|(_, batch)| batch);
         }
-        if let (Some(batch), Some(term)) = (done, self.leads) {
-            self.tell(LogEvent::Committed { term, batch });
+        if let (Some(batch), Some(term)) = (last_committed, self.leading_term) {
+            self.send_event(LogEvent::Committed { term, batch });
         }
     }
 }
--- a/components/node/src/message.rs
+++ b/components/node/src/message.rs
@@ -1,4 +1,4 @@
-//! What the processes of a cell say to each other. Messages may be lost.
+//! The messages between the processes of a cell. Messages may be lost.
 
 use clock::Millis;
 use consensus::Envelope;
@@ -7,21 +7,21 @@
 use serde::{Deserialize, Serialize};
 use workload::{StepKey, WorkerId};
 
-/// A message.
+/// A message from one instance of a cell to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The replicated log's own.
+    /// A message of the replicated log.
     Log(Envelope),
-    /// An instance is there. Sent to every known control instance again and again.
+    /// The sender is running. Sent periodically to every known control instance.
     Hello {
         /// The sender's disk if it is a control instance.
         disk: Option<Incarnation>,
-        /// Whether the sender can call for advice.
+        /// Whether the sender can call the advice service.
         calls_advice: bool,
-        /// Whether the receiver's answers have reached the sender lately.
+        /// Whether the receiver's answers have reached the sender recently.
         answered: bool,
     },
-    /// The answer to a hello, also sent unasked by a new leader.
+    /// The answer to a hello; a new leader also sends it to every instance without being asked.
     Welcome {
         /// The leader that the sender knows.
         leader: Option<InstanceId>,
@@ -29,50 +29,50 @@
         term: u64,
         /// The control instances that the sender knows.
         controls: Vec<InstanceId>,
-        /// Those of them that vote, as far as the sender knows.
+        /// The voters among them, as far as the sender knows.
         voters: Vec<InstanceId>,
     },
     /// A call for the leader.
     Call {
-        /// Names the call in its answer, at the sender.
+        /// Identifies the call in its answer; unique at the sender.
         token: u64,
-        /// What is asked.
+        /// The call itself.
         call: Call,
     },
-    /// The leader's answer.
+    /// The leader's answer to a call.
     Answer {
-        /// The call.
+        /// The token of the call.
         token: u64,
         /// The answer.
         answer: Answer,
     },
-    /// A worker announced itself to the sender.
+    /// A worker sent an announcement to the sender.
     Announcement(WorkerAnnouncement),
-    /// The leader has taken in that a worker is leaving, and starts nothing more there.
+    /// The leader has processed the announcement that a worker is leaving, and starts nothing more on it.
     LeavingAcknowledged {
         /// The worker.
         worker: WorkerId,
-        /// The number of its announcement.
+        /// The number of the worker's announcement.
         number: u64,
     },
-    /// A worker said to the sender that it ends.
+    /// A worker deregistered at the sender.
     Left(WorkerId),
-    /// The leader wants advice to be called for.
+    /// The leader asks the receiver to call the advice service.
     AdviceRequest {
-        /// Names the call in its answer.
+        /// Identifies the request in its response.
         id: u64,
-        /// The step.
+        /// The step whose tasks are to be assigned.
         step: StepKey,
-        /// The workers asked about.
+        /// The candidate workers.
         workers: Vec<WorkerId>,
     },
-    /// What the advice service said.
+    /// The response to an advice request.
     Advised {
-        /// The call.
+        /// The id of the request.
         id: u64,
-        /// How long the tickets hold.
+        /// How long the tickets are valid.
         valid: Option<Millis>,
-        /// Who is allowed, with their tickets; `None` if there was no answer.
+        /// The allowed workers with their tickets; `None` if the advice service did not answer.
         allowed: Option<Vec<(WorkerId, Name)>>,
     },
 }
--- a/components/node/src/node_handle.rs
+++ b/components/node/src/node_handle.rs
@@ -1,4 +1,4 @@
-//! The listeners' way into a process: calls go in, answers come back.
+//! The handle through which listeners and signals reach a process.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,108 +16,114 @@
 use tokio::time::timeout;
 use workload::WorkerId;
 
-/// The figure that counts announcements which name no worker, by their fault.
-const FAULTY_ANNOUNCEMENTS: &str = "heathvale_announcements_faulty_total";
-/// The most signs of an id that is no worker's in the log.
-const LONGEST_SUBJECT: usize = 64;
+/// The counter of faulty announcements, by fault.
+const FAULTY_ANNOUNCEMENTS_METRIC: &str = "heathvale_announcements_faulty_total";
+/// How many characters of an invalid worker id are logged.
+const MAX_SUBJECT_LENGTH: usize = 64;
 
-/// What listeners and signals tell a process.
-pub(crate) enum Arrival {
-    /// Somebody asks for something and waits.
-    Call { call: Call, patience: Millis, tx: oneshot::Sender<Answer> },
-    /// A worker announced itself.
+/// An event from a listener or a signal handler.
+pub(crate) enum InboundEvent {
+    /// A call whose caller waits for the answer.
+    Call { call: Call, max_wait: Millis, tx: oneshot::Sender<Answer> },
+    /// A worker sent an announcement.
     Announcement(WorkerAnnouncement),
-    /// A worker announced that it is leaving; the leader's word on it is awaited.
-    Leaving { news: WorkerAnnouncement, tx: oneshot::Sender<()> },
-    /// A worker said that it ends.
+    /// A worker announced that it is leaving and awaits the leader's acknowledgement.
+    Leaving { announcement: WorkerAnnouncement, tx: oneshot::Sender<()> },
+    /// A worker deregistered.
     Left(WorkerId),
-    /// The process was told something.
+    /// The process received a signal.
     Signal(Signal),
 }
 
-/// What a process is told from outside.
+/// A request to the process from the operating system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Finish what is under way and end.
+    /// Finish the calls in progress and exit.
     Stop,
-    /// The settings have changed.
+    /// Read the settings again.
     Reload,
 }
 
-/// Hands what listeners take in to the process.
+/// The handle through which listeners submit calls and announcements to the process.
 #[derive(Clone)]
 pub struct NodeHandle {
-    tx: UnboundedSender<Arrival>,
+    tx: UnboundedSender<InboundEvent>,
     ready: Arc<AtomicBool>,
     stopping: Arc<AtomicBool>,
     metrics: Arc<Registry>,
 }
 
 impl NodeHandle {
-    /// Makes a gate through which signals come, too, and gives what arrives at it.
+    /// Creates a handle and the receiver of its events, and starts to watch the process's signals.
     ///
     /// # Errors
-    /// If the signals cannot be watched.
-    pub(crate) fn open(metrics: Arc<Registry>) -> Result<(NodeHandle, UnboundedReceiver<Arrival>)> {
+    /// Fails if the signals cannot be watched.
+    pub(crate) fn open(
+        metrics: Arc<Registry>,
+    ) -> Result<(NodeHandle, UnboundedReceiver<InboundEvent>)> {
         let (tx, rx) = unbounded_channel();
         let handle = NodeHandle { tx, ready: Arc::default(), stopping: Arc::default(), metrics };
         watch_signals(&handle)?;
         Ok((handle, rx))
     }
 
-    /// Gives the process's figures in text form.
+    /// Returns the process's metrics in text form.
     pub fn metrics(&self) -> String {
         self.metrics.text()
     }
 
-    /// Has a call answered. It gives up after `patience`, and says then whether the call may have
+    /// Submits a call and returns its answer. After `max_wait` the answer says whether the call may have
     /// been carried out.
-    pub async fn call(&self, call: Call, patience: Millis) -> Answer {
+    pub async fn call(&self, call: Call, max_wait: Millis) -> Answer {
         let (tx, rx) = oneshot::channel();
-        if self.tx.send(Arrival::Call { call, patience, tx }).is_err() {
-            return Answer::NotDone { retry_after: patience };
+        if self.tx.send(InboundEvent::Call { call, max_wait, tx }).is_err() {
+            return Answer::NotDone { retry_after: max_wait };
         }
-        // The process drops a call only when it ends, when nobody knows what became of it.
+        // The process drops a call only when it exits; the outcome of the call is then unknown.
         rx.await.unwrap_or(Answer::Unsure { retry_after: Millis::ZERO })
     }
 
-    /// Takes in a worker's announcement.
-    pub fn announce(&self, news: WorkerAnnouncement) {
-        // A process that ends has no use for it; the worker announces itself elsewhere next time.
-        let _ = self.tx.send(Arrival::Announcement(news));
+    /// Submits a worker's announcement.
+    pub fn announce(&self, announcement: WorkerAnnouncement) {
+        // The send fails only if the process is exiting; the worker's next announcement goes to another instance.
+        let _ = self.tx.send(InboundEvent::Announcement(announcement));
     }
 
-    /// Counts an announcement that names no worker, and tells of the first one with each fault. Another writer may
-    /// send them for ever, and the log must not fill with them.
+    /// Counts a faulty announcement, and logs only the first one with each fault: another writer may send them
+    /// indefinitely, and they must not flood the log.
     pub fn record_faulty_announcement(&self, fault: &'static str, id: &str) {
-        if self.metrics.add(FAULTY_ANNOUNCEMENTS, fault, 1) == 1 {
-            let subject: String = id.escape_default().take(LONGEST_SUBJECT).collect();
-            let details = format!("fault={fault} counted_as={FAULTY_ANNOUNCEMENTS}");
+        if self.metrics.add(FAULTY_ANNOUNCEMENTS_METRIC, fault, 1) == 1 {
+            let subject: String = id.escape_default().take(MAX_SUBJECT_LENGTH).collect();
+            let details = format!("fault={fault} counted_as={FAULTY_ANNOUNCEMENTS_METRIC}");
             tell(&kinds::ANNOUNCEMENT_FAULTY, &subject, &details);
         }
     }
 
-    /// Takes in that a worker is leaving, and tells whether the leader knows of it within `patience`: only
-    /// then will surely nothing more be started there.
-    pub async fn announce_leaving(&self, news: WorkerAnnouncement, patience: Millis) -> bool {
+    /// Submits an announcement that a worker is leaving. Returns whether the leader acknowledged it within
+    /// `max_wait`: only then it is certain that nothing more will be started on the worker.
+    pub async fn announce_leaving(
+        &self,
+        announcement: WorkerAnnouncement,
+        max_wait: Millis,
+    ) -> bool {
         let (tx, rx) = oneshot::channel();
-        // As for news.
-        let _ = self.tx.send(Arrival::Leaving { news, tx });
-        matches!(timeout(patience.duration(), rx).await, Ok(Ok(())))
+        // The send fails only if the process is exiting.
+        let _ = self.tx.send(InboundEvent::Leaving { announcement, tx });
+        matches!(timeout(max_wait.duration(), rx).await, Ok(Ok(())))
     }
 
-    /// Takes in that a worker ends.
+    /// Submits that a worker has left.
     pub fn deregister(&self, worker: WorkerId) {
-        // As for news.
-        let _ = self.tx.send(Arrival::Left(worker));
+        // The send fails only if the process is exiting.
+        let _ = self.tx.send(InboundEvent::Left(worker));
     }
 
-    /// Tells whether callers should be sent here.
+    /// Returns whether callers should be sent to this instance.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed) && !self.is_stopping()
     }
 
-    /// Tells whether the process was told to stop, so that connections should not be kept.
+    /// Returns whether the process is stopping, so that connections should not be kept open.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
@@ -131,17 +137,17 @@
     }
 
     pub(crate) fn signal(&self, signal: Signal) {
-        // A process that ends needs no signal.
-        let _ = self.tx.send(Arrival::Signal(signal));
+        // The send fails only if the process is already exiting.
+        let _ = self.tx.send(InboundEvent::Signal(signal));
     }
 }
 
-/// Hands the signals of the operating system to a process.
+/// Starts a thread that forwards the signals of the operating system to the process.
 ///
 /// # Errors
-/// [`Error::Refused`] if signals cannot be taken in.
+/// Returns [`Error::Refused`] if the signals cannot be watched.
 fn watch_signals(handle: &NodeHandle) -> Result<()> {
-    let refused = |e: std::io::Error| Error::Refused(format!("cannot take in signals: {e}"));
+    let refused = |e: std::io::Error| Error::Refused(format!("cannot watch signals: {e}"));
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP]).map_err(refused)?;
     let handle = handle.clone();
     let watch = move || {
--- a/components/node/src/peers.rs
+++ b/components/node/src/peers.rs
@@ -1,4 +1,5 @@
-//! Who else is in the cell: learned from seeds, hellos and welcomes, and forgotten after silence.
+//! The other instances of the cell: discovered through seeds, hellos and welcomes, and removed after a long
+//! time without contact.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,146 +8,146 @@
 
 use crate::message::Message;
 
-/// How often an instance says hello. Short enough that a new leader is known, and a lost one
-/// noticed, well within an election.
-const HELLO_EVERY: Millis = Millis(200);
-/// How often it does while it knows no leader.
-const SEEK_EVERY: Millis = Millis(100);
-/// After what silence an instance counts as away.
-const AWAY_AFTER: Millis = Millis(1_500);
-/// After what silence about a leader an entry instance asks not to be sent callers. The balancer
-/// takes two seconds more to act on it, and callers are better served in another zone.
-const READY_FOR: Millis = Millis(600);
-/// Within what time voters that can be reached have answered a hello: two and a half of them. The
-/// balancer looks once a second, so each tenth of a second counts.
-const HEARD_WITHIN: Millis = Millis(500);
-/// After what silence an instance is not asked to call for advice: two hellos and a little. A call that
-/// a cut-off instance is to make costs a job more than the wait for another instance.
-const HELPS_WITHIN: Millis = Millis(700);
-/// For how long after an instance got known its silence says nothing: where all lost power together,
-/// each takes up to half a second more than the others to start.
-const STARTING_UP: Millis = Millis(1_500);
-/// After what silence a link is opened anew: a hello and its answer, and a little. The other end of a
-/// link that lost power says nothing, and the kernel finds out late.
+/// How often an instance sends hellos. With a greater interval a new leader is not discovered, and a lost one
+/// not noticed, within the time of an election.
+const HELLO_INTERVAL: Millis = Millis(200);
+/// How often an instance sends hellos while it knows no leader.
+const SEEK_INTERVAL: Millis = Millis(100);
+/// How long a leader is considered current after it was last confirmed.
+const LEADER_TIMEOUT: Millis = Millis(1_500);
+/// How long after the leader was last confirmed an entry instance reports as ready. The balancer takes two
+/// more seconds to react, and callers are better served in another zone, so a greater value prolongs outages.
+const READY_TIMEOUT: Millis = Millis(600);
+/// How long after its last message a voter counts as reachable: two and a half hello intervals. The balancer
+/// checks readiness once a second, so each tenth of a second more delays the switch to another zone.
+const VOTER_TIMEOUT: Millis = Millis(500);
+/// How long after its last message an instance is asked to make advice calls: a little more than three hello
+/// intervals. An advice call at an unreachable instance delays a job more than waiting for another instance.
+const ADVICE_CALLER_TIMEOUT: Millis = Millis(700);
+/// For how long after an instance was discovered its missing messages are ignored: if all instances lost power
+/// together, their starts differ by up to half a second.
+const STARTUP_GRACE: Millis = Millis(1_500);
+/// After how long without a message a link is reopened: a little more than a hello and its answer take. A
+/// remote machine that lost power closes no connection, and the kernel detects that late.
 const RECONNECT_AFTER: Millis = Millis(500);
-/// Within what time a hello is answered even over a slow link: five hellos. Each way of a link is a
-/// connection of its own, so one may be silent for good while the other brings messages. Opening one anew
-/// drops what waits in it, so a slow way is given longer than one that brings nothing at all.
-const ANSWERED_WITHIN: Millis = Millis(1_000);
-/// After what silence an instance that no settings name is forgotten.
-const FORGET_AFTER: Millis = Millis(60_000);
+/// How long the answer to a hello may take even over a slow link: five hello intervals. Each direction of a
+/// link is a connection of its own, so one may be broken while the other delivers messages. Reopening one
+/// drops its queued messages, so a slow direction gets more time than a link without any messages.
+const HELLO_ANSWER_TIMEOUT: Millis = Millis(1_000);
+/// After how long without contact an instance that is no seed is removed.
+const FORGET_PEER_AFTER: Millis = Millis(60_000);
 
-/// Who this instance is.
+/// The identity of this instance.
 #[derive(Clone, Debug)]
 pub struct PeersConfig {
-    /// Its id.
+    /// The id of this instance.
     pub id: InstanceId,
-    /// Its disk if it is a control instance.
+    /// The incarnation of its disk if it is a control instance.
     pub disk: Option<Incarnation>,
-    /// Whether it can call for advice.
+    /// Whether it can call the advice service.
     pub calls_advice: bool,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Peer {
-    heard_at: Option<Millis>,
-    /// Since when there was no longer silence.
-    heard_since: Millis,
+    last_contact_at: Option<Millis>,
+    /// Since when its messages have arrived without a gap of [`VOTER_TIMEOUT`].
+    contact_since: Millis,
     reconnected_at: Millis,
-    first_at: Millis,
+    first_known_at: Millis,
     /// When it last answered a hello.
     answered_at: Option<Millis>,
-    /// Whether it said that our answers do not reach it.
-    misses_us: bool,
+    /// Whether it reported that this instance's answers do not reach it.
+    misses_answers: bool,
     calls_advice: bool,
     entry: bool,
 }
 
 impl Peer {
-    /// Tells whether its answers to hellos reach us.
-    fn answers(&self, now: Millis) -> bool {
-        now.since(self.answered_at.unwrap_or(self.first_at)) < ANSWERED_WITHIN
+    /// Returns whether its answers to hellos reach this instance.
+    fn answers_hellos(&self, now: Millis) -> bool {
+        now.since(self.answered_at.unwrap_or(self.first_known_at)) < HELLO_ANSWER_TIMEOUT
     }
 
-    /// Tells whether our link to it is to be opened anew. An answer that does not come may be lost on
-    /// either way, so this end opens its own, and its hello has the other end open the way back.
-    fn wants_reconnect(&self, now: Millis) -> bool {
-        let opened_at = self.reconnected_at.max(self.first_at);
-        let heard_at = self.heard_at.unwrap_or(self.first_at);
-        let silent = now.since(heard_at.max(opened_at)) >= RECONNECT_AFTER;
-        let one_way = self.misses_us || (!self.entry && !self.answers(now));
-        silent || (one_way && now.since(opened_at) >= ANSWERED_WITHIN)
+    /// Returns whether the link to it must be reopened. A missing answer may be lost in either direction, so this
+    /// end reopens its own connection, and its hello makes the other end reopen the reverse one.
+    fn needs_reconnect(&self, now: Millis) -> bool {
+        let opened_at = self.reconnected_at.max(self.first_known_at);
+        let last_contact_at = self.last_contact_at.unwrap_or(self.first_known_at);
+        let silent = now.since(last_contact_at.max(opened_at)) >= RECONNECT_AFTER;
+        let one_way = self.misses_answers || (!self.entry && !self.answers_hellos(now));
+        silent || (one_way && now.since(opened_at) >= HELLO_ANSWER_TIMEOUT)
     }
 }
 
-/// How many of the voters an instance hears.
+/// How many of the voters an instance can reach.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
-    /// More than half, as far as is known: one of them leads or will soon.
+    /// More than half, as far as is known: one of them leads or soon will.
     Majority,
-    /// Half or fewer: they cannot lead, and others may, whom this instance does not reach.
+    /// Half or fewer: they cannot elect a leader, but voters that this instance cannot reach may.
     Minority,
-    /// None, or only such as were silent until now: either all of them are starting anew, or this
-    /// instance alone is cut off.
+    /// None, or only voters whose messages arrive again after a gap: either all voters are restarting, or
+    /// only this instance is cut off.
     Isolated,
 }
 
-/// The other instances, as this one knows them.
+/// The other instances as this one knows them.
 #[derive(Clone, Debug)]
 pub struct Peers {
     cfg: PeersConfig,
     seeds: BTreeSet<InstanceId>,
     peers: BTreeMap<InstanceId, Peer>,
     leader: Option<(u64, InstanceId)>,
-    leader_at: Millis,
-    /// The voters, and the term in which they were told.
+    leader_confirmed_at: Millis,
+    /// The voters, and the term in which they were reported.
     voters: (u64, Vec<InstanceId>),
-    hello_at: Millis,
+    next_hello_at: Millis,
 }
 
 impl Peers {
-    /// Begins with the seeds.
+    /// Creates the set of peers from the seeds.
     pub fn new(cfg: PeersConfig, seeds: BTreeSet<InstanceId>, now: Millis) -> Peers {
         let mut peers = Peers {
             cfg,
             seeds: BTreeSet::new(),
             peers: BTreeMap::new(),
             leader: None,
-            leader_at: Millis::ZERO,
+            leader_confirmed_at: Millis::ZERO,
             voters: (0, Vec::new()),
-            hello_at: now,
+            next_hello_at: now,
         };
         peers.set_seeds(seeds, now);
         peers
     }
 
-    /// Takes in seeds from settings that have changed; those learned otherwise stay known.
+    /// Replaces the seeds after a change of the settings; peers that are already known are kept.
     pub fn set_seeds(&mut self, seeds: BTreeSet<InstanceId>, now: Millis) {
         for seed in &seeds {
-            self.learn(seed, now);
+            self.add_peer(seed, now);
         }
         self.seeds = seeds;
     }
 
-    fn learn(&mut self, id: &InstanceId, now: Millis) {
+    fn add_peer(&mut self, id: &InstanceId, now: Millis) {
         if *id != self.cfg.id {
-            let fresh = Peer { first_at: now, ..Peer::default() };
+            let fresh = Peer { first_known_at: now, ..Peer::default() };
             self.peers.entry(id.clone()).or_insert(fresh);
         }
     }
 
-    /// Notes a message of any kind from an instance.
+    /// Records that a message of any kind arrived from an instance.
     pub fn record_contact(&mut self, id: &InstanceId, now: Millis) {
-        self.learn(id, now);
+        self.add_peer(id, now);
         if let Some(peer) = self.peers.get_mut(id) {
-            let before = peer.heard_at.replace(now);
-            if before.is_none_or(|t| now.since(t) >= HEARD_WITHIN) {
-                peer.heard_since = now;
+            let before = peer.last_contact_at.replace(now);
+            if before.is_none_or(|t| now.since(t) >= VOTER_TIMEOUT) {
+                peer.contact_since = now;
             }
         }
     }
 
-    /// Takes in a hello.
+    /// Processes a hello.
     pub fn on_hello(
         &mut self,
         id: &InstanceId,
@@ -155,13 +156,13 @@
         answered: bool,
     ) {
         if let Some(peer) = self.peers.get_mut(id) {
-            peer.misses_us = !answered;
+            peer.misses_answers = !answered;
             peer.calls_advice = calls_advice;
             peer.entry = disk.is_none();
         }
     }
 
-    /// Takes in a welcome; tells whether it changed who leads.
+    /// Processes a welcome. Returns whether the leader changed.
     pub fn on_welcome(
         &mut self,
         from: &InstanceId,
@@ -174,7 +175,7 @@
             peer.answered_at = Some(now);
         }
         for id in controls {
-            self.learn(id, now);
+            self.add_peer(id, now);
         }
         match leader {
             Some(leader) => self.update_leader(leader, term, now),
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Notes who leads; a lower term is old news. Tells whether that is new.
+    /// Updates the leader unless a later term is known. Returns whether the leader changed.
     pub fn update_leader(&mut self, leader: InstanceId, term: u64, now: Millis) -> bool {
         if self.leader.as_ref().is_some_and(|(known, _)| *known > term) {
             return false;
@@ -190,66 +191,68 @@
         let next = Some((term, leader));
         let changed = self.leader != next;
         self.leader = next;
-        self.leader_at = now;
+        self.leader_confirmed_at = now;
         changed
     }
 
-    /// Notes that an instance stopped leading.
+    /// Records that an instance stopped leading.
     pub fn clear_leader(&mut self, leader: &InstanceId) {
         if self.leader.as_ref().is_some_and(|(_, l)| l == leader) {
             self.leader = None;
         }
     }
 
-    /// Notes that the leader that is known still leads.
+    /// Records that the known leader still leads.
     pub fn confirm_leader(&mut self, now: Millis) {
-        self.leader_at = now;
+        self.leader_confirmed_at = now;
     }
 
-    /// Gives the term of the leader that is known; zero before the first.
+    /// Returns the term of the known leader, or zero if there was none yet.
     pub fn term(&self) -> u64 {
         self.leader.as_ref().map_or(0, |(term, _)| *term)
     }
 
-    /// Gives the leader, unless nobody has spoken of it for a while.
+    /// Returns the leader if it was confirmed recently.
     pub fn leader(&self, now: Millis) -> Option<&InstanceId> {
-        let recent = now.since(self.leader_at) < AWAY_AFTER;
+        let recent = now.since(self.leader_confirmed_at) < LEADER_TIMEOUT;
         self.leader.as_ref().filter(|_| recent).map(|(_, id)| id)
     }
 
-    /// Notes who votes; a lower term is old news.
+    /// Updates the voters unless they were reported in a later term.
     pub fn set_voters(&mut self, term: u64, voters: Vec<InstanceId>) {
         if term >= self.voters.0 && !voters.is_empty() {
             self.voters = (term, voters);
         }
     }
 
-    /// Tells how many of the voters can be reached.
+    /// Returns how many of the voters can be reached.
     pub fn reach(&self, now: Millis) -> Reachability {
         let voters = &self.voters.1;
         let known = || voters.iter().filter_map(|id| self.peers.get(id));
-        let heard = |p: &&Peer| p.heard_at.is_some_and(|t| now.since(t) < HEARD_WITHIN);
-        let starting = |p: &&Peer| now.since(p.first_at) < STARTING_UP;
-        let back = |p: &Peer| now.since(p.heard_since) < STARTING_UP;
-        let present = known().filter(|p| heard(p) || starting(p)).count();
+        let in_contact =
+            |p: &&Peer| p.last_contact_at.is_some_and(|t| now.since(t) < VOTER_TIMEOUT);
+        let starting = |p: &&Peer| now.since(p.first_known_at) < STARTUP_GRACE;
+        let returned = |p: &Peer| now.since(p.contact_since) < STARTUP_GRACE;
+        let present = known().filter(|p| in_contact(p) || starting(p)).count();
         if voters.is_empty() || present * 2 > voters.len() {
             return Reachability::Majority;
         }
-        // Whoever was cut off with this instance was heard all along.
-        match known().filter(heard).any(|p| !back(p)) {
+        // Voters that are cut off together with this instance were reachable without a gap.
+        match known().filter(in_contact).any(|p| !returned(p)) {
             true => Reachability::Minority,
             false => Reachability::Isolated,
         }
     }
 
-    /// Tells whether a leader was spoken of just now.
+    /// Returns whether the leader was confirmed recently enough to be ready for callers.
     pub fn is_connected(&self, now: Millis) -> bool {
-        self.leader.is_some() && now.since(self.leader_at) < READY_FOR
+        self.leader.is_some() && now.since(self.leader_confirmed_at) < READY_TIMEOUT
     }
 
-    /// Gives the instances that can call for advice.
+    /// Returns the instances that can make advice calls.
     pub fn advice_callers(&self, now: Millis) -> BTreeSet<InstanceId> {
-        let there = |p: &Peer| p.heard_at.is_some_and(|t| now.since(t) < HELPS_WITHIN);
+        let there =
+            |p: &Peer| p.last_contact_at.is_some_and(|t| now.since(t) < ADVICE_CALLER_TIMEOUT);
         self.peers
             .iter()
             .filter(|(_, p)| p.calls_advice && there(p))
@@ -257,42 +260,44 @@
             .collect()
     }
 
-    /// Gives every instance that a link is needed to.
+    /// Returns every instance that needs a link.
     pub fn ids(&self) -> impl Iterator<Item = &InstanceId> {
         self.peers.keys()
     }
 
-    /// Gives the control instances, this one too if it is one.
+    /// Returns the control instances, including this one if it is one.
     pub fn control_instances(&self) -> Vec<InstanceId> {
         let others = self.peers.iter().filter(|(_, p)| !p.entry).map(|(id, _)| id.clone());
         let own = self.cfg.disk.map(|_| self.cfg.id.clone());
         others.chain(own).collect()
     }
 
-    /// Gives the hellos that are due.
+    /// Returns the hellos that are due.
     pub fn due_hellos(&mut self, now: Millis) -> Vec<(InstanceId, Message)> {
-        if now < self.hello_at {
+        if now < self.next_hello_at {
             return Vec::new();
         }
         let known = self.leader(now).is_some();
-        self.hello_at = now + if known { HELLO_EVERY } else { SEEK_EVERY };
+        self.next_hello_at = now + if known { HELLO_INTERVAL } else { SEEK_INTERVAL };
         let (disk, calls_advice) = (self.cfg.disk, self.cfg.calls_advice);
-        let hello = |p: &Peer| Message::Hello { disk, calls_advice, answered: p.answers(now) };
+        let hello =
+            |p: &Peer| Message::Hello { disk, calls_advice, answered: p.answers_hellos(now) };
         let controls = self.peers.iter().filter(|(_, p)| !p.entry);
         controls.map(|(id, p)| (id.clone(), hello(p))).collect()
     }
 
-    /// Gives the instances whose links are to be opened anew, and drops those that are long gone.
+    /// Returns the instances whose links must be reopened, and those that it removed after a long time
+    /// without contact.
     pub fn maintain(&mut self, now: Millis) -> (Vec<InstanceId>, Vec<InstanceId>) {
         let mut silent = Vec::new();
         let mut gone = Vec::new();
         for (id, peer) in &mut self.peers {
-            let since = peer.heard_at.unwrap_or(peer.first_at);
-            if now.since(since) >= FORGET_AFTER && !self.seeds.contains(id) {
+            let since = peer.last_contact_at.unwrap_or(peer.first_known_at);
+            if now.since(since) >= FORGET_PEER_AFTER && !self.seeds.contains(id) {
                 gone.push(id.clone());
-            } else if peer.wants_reconnect(now) {
+            } else if peer.needs_reconnect(now) {
                 peer.reconnected_at = now;
-                peer.misses_us = false;
+                peer.misses_answers = false;
                 silent.push(id.clone());
             }
         }
--- a/components/node/src/pending_calls.rs
+++ b/components/node/src/pending_calls.rs
@@ -1,4 +1,4 @@
-//! The callers of this process that wait for an answer.
+//! The calls whose callers wait at this process for an answer.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,22 +10,22 @@
 use model::Name;
 use tokio::sync::oneshot;
 
-struct Waiter {
-    about: Name,
+struct PendingCall {
+    subject: Name,
     verb: &'static str,
-    since: Millis,
+    received_at: Millis,
     tx: oneshot::Sender<Answer>,
 }
 
-/// Who waits, by the token of the call.
-pub(crate) struct Waiters {
-    by_token: BTreeMap<u64, Waiter>,
+/// The calls that await their answers, by token.
+pub(crate) struct PendingCalls {
+    by_token: BTreeMap<u64, PendingCall>,
     metrics: Arc<Registry>,
 }
 
-impl Waiters {
-    pub(crate) fn new(metrics: Arc<Registry>) -> Waiters {
-        Waiters { by_token: BTreeMap::new(), metrics }
+impl PendingCalls {
+    pub(crate) fn new(metrics: Arc<Registry>) -> PendingCalls {
+        PendingCalls { by_token: BTreeMap::new(), metrics }
     }
 
     pub(crate) fn add(
@@ -35,36 +35,36 @@
         call: &Call,
         tx: oneshot::Sender<Answer>,
     ) {
-        let (about, verb) = match call {
+        let (subject, verb) = match call {
             Call::Job { path, verb, .. } | Call::KeyedJob { path, verb, .. } => {
                 (path.clone(), verb_name(verb))
             }
             Call::Publish(document) => (Name::from(document.version.to_string()), "publish"),
             Call::Read => (Name::from("configuration"), "read"),
         };
-        self.by_token.insert(token, Waiter { about, verb, since: now, tx });
+        self.by_token.insert(token, PendingCall { subject, verb, received_at: now, tx });
     }
 
-    /// Hands an answer to whoever waits for it.
+    /// Records metrics and log lines for an answer, and returns it to the waiting caller.
     pub(crate) fn answer(&mut self, now: Millis, token: u64, answer: Answer) {
-        let Some(waiter) = self.by_token.remove(&token) else { return };
-        let waited = now.since(waiter.since).0;
+        let Some(pending) = self.by_token.remove(&token) else { return };
+        let waited = now.since(pending.received_at).0;
         self.metrics.note_ms("heathvale_call_seconds", waited);
         self.metrics.add("heathvale_answers_total", answer_name(&answer), 1);
         let details = |retry_after: &Millis| {
-            format!("verb={} waited_ms={waited} retry_after_ms={}", waiter.verb, retry_after.0)
+            format!("verb={} waited_ms={waited} retry_after_ms={}", pending.verb, retry_after.0)
         };
         match &answer {
             Answer::NotDone { retry_after } => {
-                tell(&kinds::CALL_REFUSED, &waiter.about, &details(retry_after));
+                tell(&kinds::CALL_REFUSED, &pending.subject, &details(retry_after));
             }
             Answer::Unsure { retry_after } => {
-                tell(&kinds::CALL_UNSURE, &waiter.about, &details(retry_after));
+                tell(&kinds::CALL_UNSURE, &pending.subject, &details(retry_after));
             }
             _ => {}
         }
-        // A caller that has left needs no answer.
-        let _ = waiter.tx.send(answer);
+        // The caller may have disconnected.
+        let _ = pending.tx.send(answer);
     }
 }
 
--- a/components/node/src/recent_announcements.rs
+++ b/components/node/src/recent_announcements.rs
@@ -1,4 +1,4 @@
-//! What workers have announced at this instance lately, for a leader that has not heard it.
+//! The recent announcements of workers at this instance, kept to be sent to a new leader.
 
 use std::collections::BTreeMap;
 
@@ -6,45 +6,46 @@
 use dispatch::WorkerAnnouncement;
 use workload::WorkerId;
 
-/// How long an announcement is told to new leaders: a little more than two of a worker's periods.
-/// Older news may be of lives that are long over.
-const NEWS_FRESH: Millis = Millis(4_000);
+/// How long an announcement is kept for new leaders: a little more than two announcement periods of a
+/// worker. Older ones may come from incarnations that ended long ago.
+const MAX_ANNOUNCEMENT_AGE: Millis = Millis(4_000);
 
-/// The last announcement of each worker, and when it came.
+/// The last announcement of each worker and when it arrived.
 #[derive(Debug, Default)]
 pub(crate) struct RecentAnnouncements {
     by_worker: BTreeMap<WorkerId, (Millis, WorkerAnnouncement)>,
 }
 
 impl RecentAnnouncements {
-    /// Takes in an announcement, unless a newer one came before it.
-    pub(crate) fn add(&mut self, now: Millis, news: WorkerAnnouncement) {
-        let known = self.by_worker.get(&news.info.id);
-        if known.is_some_and(|(_, known)| known.number > news.number) {
+    /// Records an announcement, unless a newer one of the same worker is known.
+    pub(crate) fn add(&mut self, now: Millis, announcement: WorkerAnnouncement) {
+        let known = self.by_worker.get(&announcement.info.id);
+        if known.is_some_and(|(_, known)| known.number > announcement.number) {
             return;
         }
-        self.by_worker.insert(news.info.id.clone(), (now, news));
+        self.by_worker.insert(announcement.info.id.clone(), (now, announcement));
     }
 
-    /// Drops what a worker that has left announced; where it does not say which life it was, that of lives that leave.
+    /// Removes the announcement of a worker that has left. If `worker` names no incarnation, the announcements of
+    /// all its incarnations that are leaving are removed.
     pub(crate) fn remove(&mut self, worker: &WorkerId) {
-        let is_meant = |id: &WorkerId, news: &WorkerAnnouncement| {
-            id == worker || (worker.may_refer_to(id) && news.leaving)
+        let is_meant = |id: &WorkerId, announcement: &WorkerAnnouncement| {
+            id == worker || (worker.may_refer_to(id) && announcement.leaving)
         };
-        self.by_worker.retain(|id, (_, news)| !is_meant(id, news));
+        self.by_worker.retain(|id, (_, announcement)| !is_meant(id, announcement));
     }
 
-    /// Gives what may still be told.
-    pub(crate) fn fresh(&self, now: Millis) -> Vec<WorkerAnnouncement> {
-        let fresh = self.by_worker.values().filter(|(at, _)| is_fresh(now, *at));
-        fresh.map(|(_, news)| news.clone()).collect()
+    /// Returns the announcements that are recent enough for a new leader.
+    pub(crate) fn recent(&self, now: Millis) -> Vec<WorkerAnnouncement> {
+        let fresh = self.by_worker.values().filter(|(at, _)| is_recent(now, *at));
+        fresh.map(|(_, announcement)| announcement.clone()).collect()
     }
 
-    pub(crate) fn forget_old(&mut self, now: Millis) {
-        self.by_worker.retain(|_, (at, _)| is_fresh(now, *at));
+    pub(crate) fn remove_old(&mut self, now: Millis) {
+        self.by_worker.retain(|_, (at, _)| is_recent(now, *at));
     }
 }
 
-fn is_fresh(now: Millis, at: Millis) -> bool {
-    now.since(at) < NEWS_FRESH
+fn is_recent(now: Millis, at: Millis) -> bool {
+    now.since(at) < MAX_ANNOUNCEMENT_AGE
 }
--- a/components/node/src/relay.rs
+++ b/components/node/src/relay.rs
@@ -1,8 +1,8 @@
-//! Bringing calls to whoever leads, through changes of leader.
+//! Relays calls to the current leader, across changes of leader.
 //!
-//! Every call may be sent again: a job is known by its id, a configuration by its version. What
-//! counts is the last word. "Not done" is said only if no leader can have taken the call; once one
-//! was sent and not answered, the word is "unsure".
+//! Every call may be sent again: a job is identified by its id, a configuration by its version. The final
+//! answer must be correct: "not done" is given only if no leader can have accepted the call. Once the
+//! call was sent without an answer, the final answer is "unsure".
 
 use std::collections::BTreeMap;
 
@@ -13,146 +13,149 @@
 use crate::message::Message;
 use crate::peers::Reachability;
 
-/// After what silence a call is sent again. A commit takes a few syncs of two disks.
+/// How long an answer is awaited before a call is sent again. A commit takes a few syncs of two disks, so
+/// with a smaller value calls would be sent twice.
 const RESEND_AFTER: Millis = Millis(600);
-/// The pause after a leader could not take a call.
+/// The pause after a leader rejected a call before it is sent again.
 const RETRY_PAUSE: Millis = Millis(120);
-/// How long a call is kept that surely no leader has taken: an election.
-const NOT_TAKEN_LIMIT: Millis = Millis(1_400);
-/// When callers come back that found no leader, rounded up to a second on their way. Four tries at this
-/// distance last as long as the balancer takes to send them to another zone.
-const COME_BACK: Millis = Millis(700);
-/// How long an instance that hears no voter keeps a call. If all of them are starting anew, they are
-/// mostly back within four such tries; if this instance alone is cut off, another one of its zone serves
-/// the next try.
-const ALONE_LIMIT: Millis = Millis(300);
-/// For how long such an instance sends its callers on without a pause. After that the balancer soon
-/// stops sending any, and four tries must last through a longer loss of all voters.
-const AT_ONCE_FOR: Millis = Millis(1_000);
-/// How long an instance that is cut off still waits for an answer that may be on its way.
-const LAST_WAIT: Millis = Millis(200);
-
-/// What a relay wants done.
+/// How long a call is kept that certainly no leader has accepted: the time of an election.
+const MAX_WAIT_NOT_ACCEPTED: Millis = Millis(1_400);
+/// After how long callers that found no leader should retry; the answer rounds it up to a whole second. Four
+/// attempts at this interval last as long as the balancer takes to send callers to another zone.
+const RETRY_AFTER: Millis = Millis(700);
+/// How long an instance that reaches no voter keeps a call. If all voters are restarting, they are mostly
+/// back within four such attempts; if only this instance is cut off, another one of its zone serves the next
+/// attempt.
+const MAX_WAIT_ISOLATED: Millis = Millis(300);
+/// For how long such an instance lets its callers retry without a pause. After that the balancer soon stops
+/// sending callers, and without a pause four attempts would not outlast a longer loss of all voters.
+const IMMEDIATE_RETRY_PERIOD: Millis = Millis(1_000);
+/// How long an instance that has lost the majority of the voters still awaits an answer that may be in transit.
+const FINAL_ANSWER_WAIT: Millis = Millis(200);
+
+/// An action that a relay requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RelayAction {
-    /// Send a message.
+    /// Send a message to an instance.
     Send(InstanceId, Message),
-    /// Answer a caller.
+    /// Answer the caller whose call has this token.
     Answer(u64, Answer),
 }
 
 #[derive(Clone, Debug)]
 struct Pending {
     call: Call,
-    taken_at: Millis,
-    /// How long its caller waits.
-    patience: Millis,
-    /// When its caller is to come back if it is given up.
-    come_back: Millis,
-    /// When it is given up if surely no leader has taken it.
-    give_up_at: Millis,
-    /// When it is given up in any case: its caller waits no longer.
-    limit_at: Millis,
-    next_at: Millis,
-    /// Whether a leader may have taken it without our hearing of it.
-    maybe_taken: bool,
-    /// Whether it was sent and the answer is awaited.
-    awaited: bool,
+    accepted_at: Millis,
+    /// How long the caller waits.
+    max_wait: Millis,
+    /// After how long the caller should retry if the call expires.
+    retry_after: Millis,
+    /// When the call expires if certainly no leader has accepted it.
+    not_accepted_expires_at: Millis,
+    /// When the call expires in any case.
+    expires_at: Millis,
+    next_send_at: Millis,
+    /// Whether a leader may have accepted the call in an attempt that got no answer.
+    maybe_accepted: bool,
+    /// Whether the call was sent and its answer is awaited.
+    answer_awaited: bool,
 }
 
 impl Pending {
-    /// A call that may have been taken is asked about as long as its caller waits; one that surely
-    /// was not is better tried elsewhere soon.
+    /// Returns when the call expires. One that may have been accepted is kept as long as its caller waits; one
+    /// that certainly was not is better retried at another instance soon.
     fn ends_at(&self) -> Millis {
-        match self.maybe_taken || self.awaited {
-            true => self.limit_at,
-            false => self.give_up_at,
+        match self.maybe_accepted || self.answer_awaited {
+            true => self.expires_at,
+            false => self.not_accepted_expires_at,
         }
     }
 }
 
-/// The calls that wait for the leader's answer.
+/// The calls that await the leader's answer.
 #[derive(Clone, Debug, Default)]
 pub struct Relay {
     pending: BTreeMap<u64, Pending>,
     last_token: u64,
-    /// Since when this instance has not reached enough voters.
-    without_reach: Option<Millis>,
+    /// Since when this instance has not reached a majority of the voters.
+    majority_lost_at: Option<Millis>,
 }
 
 impl Relay {
-    /// Makes a relay whose tokens differ from those of earlier lives of the process.
+    /// Creates a relay. `seed` makes its tokens differ from those of earlier incarnations of the process.
     pub fn new(seed: u64) -> Relay {
         Relay { last_token: seed << 20, ..Relay::default() }
     }
 
-    /// Takes in a call and gives its token. Its caller waits for `patience`.
-    pub fn accept(&mut self, now: Millis, call: Call, patience: Millis) -> u64 {
+    /// Accepts a call whose caller waits for `max_wait`, and returns its token.
+    pub fn accept(&mut self, now: Millis, call: Call, max_wait: Millis) -> u64 {
         self.last_token += 1;
         let pending = Pending {
             call,
-            taken_at: now,
-            patience,
-            come_back: COME_BACK,
-            give_up_at: now + patience.min(NOT_TAKEN_LIMIT),
-            limit_at: now + patience,
-            next_at: now,
-            maybe_taken: false,
-            awaited: false,
+            accepted_at: now,
+            max_wait,
+            retry_after: RETRY_AFTER,
+            not_accepted_expires_at: now + max_wait.min(MAX_WAIT_NOT_ACCEPTED),
+            expires_at: now + max_wait,
+            next_send_at: now,
+            maybe_accepted: false,
+            answer_awaited: false,
         };
         self.pending.insert(self.last_token, pending);
         self.last_token
     }
 
-    /// Tells whether a call waits.
+    /// Returns whether any call awaits its answer.
     pub fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Has every call sent again: there is a new leader.
+    /// Schedules every call to be sent again, to a new leader.
     pub fn leader_changed(&mut self, now: Millis) {
         for pending in self.pending.values_mut() {
-            pending.next_at = now;
+            pending.next_send_at = now;
         }
     }
 
-    /// Takes in how many voters are reached. Without enough of them calls are given up soon, as their
-    /// callers can still be served elsewhere.
+    /// Updates how many voters can be reached. Without a majority calls expire soon, as their callers may
+    /// still be served by another instance.
     pub fn set_reachability(&mut self, now: Millis, reach: Reachability) {
-        self.without_reach = match reach {
+        self.majority_lost_at = match reach {
             Reachability::Majority => None,
-            _ => Some(self.without_reach.unwrap_or(now)),
+            _ => Some(self.majority_lost_at.unwrap_or(now)),
         };
-        let just_lost = self.without_reach.is_some_and(|at| now.since(at) < AT_ONCE_FOR);
+        let just_lost =
+            self.majority_lost_at.is_some_and(|at| now.since(at) < IMMEDIATE_RETRY_PERIOD);
         for pending in self.pending.values_mut() {
-            let taken_at = pending.taken_at;
-            let give_up_at = match reach {
-                Reachability::Majority => taken_at + NOT_TAKEN_LIMIT,
+            let accepted_at = pending.accepted_at;
+            let not_accepted_expires_at = match reach {
+                Reachability::Majority => accepted_at + MAX_WAIT_NOT_ACCEPTED,
                 Reachability::Minority => now,
-                Reachability::Isolated => taken_at + ALONE_LIMIT,
+                Reachability::Isolated => accepted_at + MAX_WAIT_ISOLATED,
             };
-            let ends_at = taken_at + pending.patience;
-            pending.give_up_at = give_up_at.min(ends_at);
-            pending.limit_at = self.without_reach.map_or(ends_at, |at| ends_at.min(at + LAST_WAIT));
-            pending.come_back = match reach {
+            let ends_at = accepted_at + pending.max_wait;
+            pending.not_accepted_expires_at = not_accepted_expires_at.min(ends_at);
+            pending.expires_at =
+                self.majority_lost_at.map_or(ends_at, |at| ends_at.min(at + FINAL_ANSWER_WAIT));
+            pending.retry_after = match reach {
                 Reachability::Isolated if just_lost => Millis::ZERO,
-                _ => COME_BACK,
+                _ => RETRY_AFTER,
             };
         }
     }
 
-    /// Sends what is due and gives up what has waited too long.
+    /// Returns the calls that are due to be sent, and the final answers of those that have expired.
     pub fn tick(&mut self, now: Millis, leader: Option<&InstanceId>) -> Vec<RelayAction> {
         let mut actions = Vec::new();
         for (token, pending) in &mut self.pending {
             if now >= pending.ends_at() {
-                actions.push(RelayAction::Answer(*token, last_word(pending)));
+                actions.push(RelayAction::Answer(*token, final_answer(pending)));
                 continue;
             }
-            let Some(leader) = leader.filter(|_| now >= pending.next_at) else { continue };
-            pending.maybe_taken |= pending.awaited;
-            pending.awaited = true;
-            pending.next_at = now + RESEND_AFTER;
+            let Some(leader) = leader.filter(|_| now >= pending.next_send_at) else { continue };
+            pending.maybe_accepted |= pending.answer_awaited;
+            pending.answer_awaited = true;
+            pending.next_send_at = now + RESEND_AFTER;
             let message = Message::Call { token: *token, call: pending.call.clone() };
             actions.push(RelayAction::Send(leader.clone(), message));
         }
@@ -160,13 +163,13 @@
         actions
     }
 
-    /// Takes in a leader's answer.
+    /// Processes a leader's answer. Returns the answer to the caller unless the call will be sent again.
     pub fn on_answer(&mut self, now: Millis, token: u64, answer: Answer) -> Option<RelayAction> {
         let pending = self.pending.get_mut(&token)?;
         if let Answer::NotDone { .. } = answer {
-            // It may yet find a leader that can take it.
-            pending.awaited = false;
-            pending.next_at = now + RETRY_PAUSE;
+            // Another leader may still accept the call.
+            pending.answer_awaited = false;
+            pending.next_send_at = now + RETRY_PAUSE;
             return None;
         }
         self.pending.remove(&token);
@@ -174,9 +177,9 @@
     }
 }
 
-fn last_word(pending: &Pending) -> Answer {
-    match !pending.call.is_read_only() && (pending.maybe_taken || pending.awaited) {
-        true => Answer::Unsure { retry_after: pending.come_back },
-        false => Answer::NotDone { retry_after: pending.come_back },
+fn final_answer(pending: &Pending) -> Answer {
+    match !pending.call.is_read_only() && (pending.maybe_accepted || pending.answer_awaited) {
+        true => Answer::Unsure { retry_after: pending.retry_after },
+        false => Answer::NotDone { retry_after: pending.retry_after },
     }
 }
--- a/components/node/src/role_support.rs
+++ b/components/node/src/role_support.rs
@@ -1,4 +1,4 @@
-//! What both roles do with links, messages, settings and the signal to stop.
+//! Helpers that both roles share: links, events, settings, stopping and log lines.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,8 +16,8 @@
 use crate::peers::Peers;
 use crate::settings::NodeSettings;
 
-/// Joins one kind of events to the others that a process waits for.
-pub(crate) async fn pass_on<T, E>(
+/// Forwards everything from one channel into the channel of events, until either is closed.
+pub(crate) async fn forward_events<T, E>(
     mut rx: UnboundedReceiver<T>,
     tx: UnboundedSender<E>,
     wrap: impl Fn(T) -> E,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Opens the links without any peers; those are linked as they become known.
+/// Opens the links without any peers. [`sync_links`] connects peers as they become known.
 pub(crate) fn open_links(
     settings: &NodeSettings,
     on_packet: impl Fn(Result<Packet<Message>>) + Send + 'static,
@@ -38,7 +38,7 @@
     Ok(Arc::new(Links::open(&cfg, Box::new(on_packet))?))
 }
 
-/// Links every known peer, opens silent links anew, and closes those of peers that are gone.
+/// Connects every known peer, reopens silent links, and closes the links of peers that are gone.
 pub(crate) fn sync_links(links: &Links, peers: &mut Peers, now: Millis) {
     let (silent, gone) = peers.maintain(now);
     for id in &gone {
@@ -57,20 +57,20 @@
     }
 }
 
-pub(crate) fn tell_unreadable(e: &errors::Error) {
+pub(crate) fn log_unreadable(e: &errors::Error) {
     tell(&kinds::MESSAGE_UNREADABLE, "-", &format!("fault={:?}", e.to_string()));
 }
 
-pub(crate) fn tell_leader(leader: &InstanceId, term: u64) {
+pub(crate) fn log_leader(leader: &InstanceId, term: u64) {
     tell(&kinds::LEADER_KNOWN, leader.as_str(), &format!("term={term}"));
 }
 
-pub(crate) fn tell_reload(settings: &NodeSettings) {
+pub(crate) fn log_reload(settings: &NodeSettings) {
     let seeds: Vec<&str> = settings.seeds.iter().map(|s| s.as_str()).collect();
     tell(&kinds::SETTINGS_READ, &settings.name, &format!("seeds={}", seeds.join(",")));
 }
 
-/// Tells that the process was told to stop, and has the balancer send callers elsewhere.
+/// Logs that the process is stopping, and reports it as not ready so that the balancer sends callers elsewhere.
 pub(crate) fn begin_stop(settings: &NodeSettings, handle: &NodeHandle) {
     let grace = settings.grace.0;
     tell(&kinds::NODE_STOPPING, &settings.name, &format!("grace_ms={grace}"));
--- a/components/node/src/settings.rs
+++ b/components/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a process is told at its start.
+//! The settings of a process.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -8,12 +8,12 @@
 use dispatch::Limits;
 use model::InstanceId;
 
-/// What a process does.
+/// The role of a process in its cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Takes callers' calls. Holds nothing that must survive.
+    /// Accepts callers' calls. Has no persistent state.
     Entry,
-    /// Keeps the log, and is where workers and operators call.
+    /// Stores the replicated log, and accepts the calls of workers and operators.
     Control,
 }
 
@@ -22,29 +22,30 @@
 pub struct NodeSettings {
     /// The machine's name, for logs.
     pub name: String,
-    /// What it does.
+    /// The role of the process.
     pub role: Role,
-    /// Where other instances reach this process. Its id is made of it, so that an id is enough to
-    /// reach an instance, and a replacement at another address is another instance.
+    /// The address at which other instances reach this process. It is also the id of the process, so that an
+    /// id is enough to reach an instance, and a replacement at another address is another instance.
     pub listen: SocketAddr,
-    /// Where the process itself listens for them: the same, unless a proxy stands between.
+    /// The address to which the process binds its listener for other instances: the same as `listen`, unless
+    /// there is a proxy in between.
     pub bind: SocketAddr,
-    /// Control instances that were known when the settings were written.
+    /// The control instances that were known when the settings were written.
     pub seeds: BTreeSet<InstanceId>,
-    /// Whether the cell is started for the first time, by the seeds.
+    /// Whether the seeds bootstrap a new cell.
     pub bootstrap: bool,
     /// The data folder of a control instance.
     pub data_folder: Option<PathBuf>,
-    /// How many voters are kept, however long some of them are silent.
+    /// The number of voters that is maintained even if some of them are out of contact for long.
     pub keep_voters: usize,
-    /// How long a process that is told to stop has until it is killed.
+    /// How long a process that is asked to stop has until it is killed.
     pub grace: Millis,
     /// The dispatcher's limits.
     pub limits: Limits,
 }
 
 impl NodeSettings {
-    /// Gives this process's id.
+    /// Returns the id of this process.
     pub fn id(&self) -> InstanceId {
         InstanceId::from(self.listen.to_string().as_str())
     }
--- a/components/node/src/stall_detection.rs
+++ b/components/node/src/stall_detection.rs
@@ -1,54 +1,54 @@
-//! Finding out that this process did not run for a while.
+//! Detects that this process did not run for a while.
 
 use clock::Millis;
 use events::{kinds, tell};
 
-use crate::timing::TICK;
+use crate::timing::TICK_INTERVAL;
 
-/// From how long between two looks a process counts as having been away: twenty of its ticks. A busy machine
-/// holds a process up for a tenth of that.
-const AWAY: Millis = Millis(1_000);
+/// The time between two checks from which a process counts as stalled: twenty of its ticks. A busy machine delays
+/// a process by a tenth of that, so a much smaller value would report ordinary delays.
+const MIN_STALL: Millis = Millis(1_000);
 
-/// For how long a process did not run.
+/// A period in which a process did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stall {
-    /// The time since it last looked.
+    /// The time since the last check.
     pub elapsed: Millis,
-    /// How much of it the machine was suspended; the rest the process was frozen, or waited for a processor.
+    /// For how much of it the machine was suspended. For the rest the process was frozen or waited for a processor.
     pub suspended: Millis,
 }
 
-pub(crate) fn log_stall(name: &str, absence: &Stall) {
-    let Stall { elapsed, suspended } = absence;
+pub(crate) fn log_stall(name: &str, stall: &Stall) {
+    let Stall { elapsed, suspended } = stall;
     let details = format!("away_ms={} suspended_ms={}", elapsed.0, suspended.0);
     tell(&kinds::PROCESS_AWAY, name, &details);
 }
 
-/// Looks at the clock at every tick. What a process does not know otherwise is that it was away, and its log would
-/// show a gap that nothing explains.
+/// A detector of stalls that compares the clock at every tick. Without it a process does not notice that it
+/// did not run, and its log has an unexplained gap.
 #[derive(Clone, Copy, Debug)]
 pub struct StallDetector {
-    looked_at: Millis,
+    checked_at: Millis,
     suspended: Millis,
 }
 
 impl StallDetector {
-    /// Begins to watch.
+    /// Creates a detector at the time `now`, with the total time that the machine was suspended so far.
     pub fn new(now: Millis, suspended: Millis) -> StallDetector {
-        StallDetector { looked_at: now, suspended }
+        StallDetector { checked_at: now, suspended }
     }
 
-    /// Takes in the time, and how long the machine was suspended in all; tells of an absence since the last look.
-    /// A look within a tick of the last one is none, so that a busy process does not read two clocks more for
-    /// each event.
+    /// Returns a stall since the last check, given the time and the total time that the machine was suspended.
+    /// A check within a tick of the last one is skipped, so that a busy process does not read two more clocks
+    /// for each event.
     pub fn check(&mut self, now: Millis, suspended: impl FnOnce() -> Millis) -> Option<Stall> {
-        let elapsed = now.since(self.looked_at);
-        if elapsed < TICK {
+        let elapsed = now.since(self.checked_at);
+        if elapsed < TICK_INTERVAL {
             return None;
         }
         let suspended = suspended();
-        let absence = Stall { elapsed, suspended: suspended.since(self.suspended) };
+        let stall = Stall { elapsed, suspended: suspended.since(self.suspended) };
         *self = StallDetector::new(now, suspended);
-        (elapsed >= AWAY).then_some(absence)
+        (elapsed >= MIN_STALL).then_some(stall)
     }
 }
--- a/components/node/src/timing.rs
+++ b/components/node/src/timing.rs
@@ -1,10 +1,10 @@
-//! How often both roles look around, and how long they take to stop.
+//! The intervals and delays that both roles share.
 
 use clock::Millis;
 
-/// How often time passes when nothing happens.
-pub(crate) const TICK: Millis = Millis(50);
-/// How long answers that were just handed out take to leave.
-pub(crate) const LAST_ANSWERS: Millis = Millis(100);
-/// How often the settings file is looked at: it may change without a signal.
-pub(crate) const READ_SETTINGS_EVERY: Millis = Millis(2_000);
+/// The interval of ticks when no event arrives.
+pub(crate) const TICK_INTERVAL: Millis = Millis(50);
+/// How long a stopping process waits for its last answers to be sent.
+pub(crate) const FINAL_ANSWERS_TIME: Millis = Millis(100);
+/// How often the settings file is read: it may change without a signal.
+pub(crate) const SETTINGS_READ_INTERVAL: Millis = Millis(2_000);
--- a/components/node/tests/descriptors.rs
+++ b/components/node/tests/descriptors.rs
@@ -1,4 +1,4 @@
-//! The shares of the open files of a process.
+//! The division of a process's file descriptors among their uses.
 
 use node::{Descriptors, parse_open_file_limit};
 use rstest::rstest;
--- a/components/node/tests/peers.rs
+++ b/components/node/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Finding the other instances, and who leads.
+//! Discovery of the other instances and of the leader.
 
 use std::collections::BTreeSet;
 
@@ -16,8 +16,8 @@
     Peers::new(cfg, seeds, Millis(0))
 }
 
-/// Hears some instances every tenth of a second.
-fn hear(peers: &mut Peers, names: &[&str], from: u64, to: u64) {
+/// Records a message from each of the instances every tenth of a second.
+fn record_contacts(peers: &mut Peers, names: &[&str], from: u64, to: u64) {
     for now in (from..=to).step_by(100) {
         names.iter().for_each(|name| peers.record_contact(&id(name), Millis(now)));
     }
@@ -30,7 +30,7 @@
     let to: Vec<InstanceId> = peers.due_hellos(Millis(0)).into_iter().map(|(to, _)| to).collect();
     assert_eq!(to, vec![id("c1"), id("c2"), id("c3")]);
     assert!(peers.due_hellos(Millis(50)).is_empty());
-    assert_eq!(peers.due_hellos(Millis(100)).len(), 3, "often while no leader is known");
+    assert_eq!(peers.due_hellos(Millis(100)).len(), 3, "more often while no leader is known");
     peers.on_welcome(&id("c1"), Some(id("c1")), 1, &[], Millis(100));
     peers.due_hellos(Millis(200));
     assert!(peers.due_hellos(Millis(380)).is_empty());
@@ -58,9 +58,9 @@
     let mut peers = entry();
     peers.on_welcome(&id("c1"), None, 0, &[id("c2"), id("c3")], Millis(1_000));
     peers.set_voters(1, vec![id("c1"), id("c2"), id("c3")]);
-    hear(&mut peers, &["c1"], 1_000, 2_000);
+    record_contacts(&mut peers, &["c1"], 1_000, 2_000);
     assert_eq!(peers.reach(Millis(2_000)), Reachability::Majority, "the other two may be starting");
-    hear(&mut peers, &["c1"], 2_000, 3_000);
+    record_contacts(&mut peers, &["c1"], 2_000, 3_000);
     assert_eq!(peers.reach(Millis(3_000)), Reachability::Minority);
 }
 
@@ -81,11 +81,11 @@
     let mut peers = entry();
     peers.record_contact(&id("c1"), Millis(1_000));
     peers.on_welcome(&id("c1"), None, 0, &[], Millis(1_000));
-    let opened = |peers: &mut Peers, now| !peers.maintain(Millis(now)).0.is_empty();
-    assert!(!opened(&mut peers, 1_450));
-    assert!(opened(&mut peers, 1_500));
-    assert!(!opened(&mut peers, 1_950), "not at every tick");
-    assert!(opened(&mut peers, 2_000));
+    let reopened = |peers: &mut Peers, now| !peers.maintain(Millis(now)).0.is_empty();
+    assert!(!reopened(&mut peers, 1_450));
+    assert!(reopened(&mut peers, 1_500));
+    assert!(!reopened(&mut peers, 1_950), "not at every tick");
+    assert!(reopened(&mut peers, 2_000));
 }
 
 #[test]
@@ -105,9 +105,9 @@
     peers.on_hello(&id("e2"), None, true, true);
     peers.on_hello(&id("e3"), None, false, true);
     peers.on_hello(&id("c1"), Some(Incarnation(1)), true, true);
-    let helpers: Vec<InstanceId> = peers.advice_callers(Millis(100)).into_iter().collect();
-    assert_eq!(helpers, vec![id("c1"), id("e2")]);
-    assert!(peers.advice_callers(Millis(800)).is_empty(), "what a silent one is asked for is late");
+    let advice_callers: Vec<InstanceId> = peers.advice_callers(Millis(100)).into_iter().collect();
+    assert_eq!(advice_callers, vec![id("c1"), id("e2")]);
+    assert!(peers.advice_callers(Millis(800)).is_empty(), "none without recent contact");
 }
 
 #[test]
@@ -115,10 +115,10 @@
     let mut peers = entry();
     assert_eq!(peers.reach(Millis(0)), Reachability::Majority, "nothing is known yet");
     peers.set_voters(3, vec![id("c1"), id("c2"), id("c3")]);
-    hear(&mut peers, &["c1", "c2", "c3"], 1_000, 3_000);
-    hear(&mut peers, &["c1", "c2"], 3_000, 4_000);
+    record_contacts(&mut peers, &["c1", "c2", "c3"], 1_000, 3_000);
+    record_contacts(&mut peers, &["c1", "c2"], 3_000, 4_000);
     assert_eq!(peers.reach(Millis(4_000)), Reachability::Majority);
-    hear(&mut peers, &["c1"], 4_000, 5_000);
+    record_contacts(&mut peers, &["c1"], 4_000, 5_000);
     assert_eq!(peers.reach(Millis(5_000)), Reachability::Minority);
     peers.set_voters(2, vec![id("c1")]);
     assert_eq!(
@@ -127,36 +127,36 @@
         "an older term changes no voters"
     );
     assert_eq!(peers.reach(Millis(5_600)), Reachability::Isolated);
-    hear(&mut peers, &["c2"], 6_000, 6_200);
-    assert_eq!(peers.reach(Millis(6_200)), Reachability::Isolated, "the voters are starting anew");
+    record_contacts(&mut peers, &["c2"], 6_000, 6_200);
+    assert_eq!(peers.reach(Millis(6_200)), Reachability::Isolated, "the voters are restarting");
 }
 
-/// The instances whose links are opened anew, at any tick up to a time.
+/// Counts the links that are reopened in a period, with a tick every 50 ms.
 fn reconnects(
     peers: &mut Peers,
     from: u64,
     to: u64,
     mut tick: impl FnMut(&mut Peers, u64),
 ) -> usize {
-    let mut opened = 0;
+    let mut reopened = 0;
     for now in (from..to).step_by(50) {
         tick(peers, now);
-        opened += peers.maintain(Millis(now)).0.len();
+        reopened += peers.maintain(Millis(now)).0.len();
     }
-    opened
+    reopened
 }
 
 #[test]
 fn an_instance_that_is_heard_and_does_not_answer_hellos_gets_a_new_link() {
     let mut peers = entry();
-    let heard = |peers: &mut Peers, now| peers.record_contact(&id("c1"), Millis(now));
-    assert_eq!(reconnects(&mut peers, 0, 1_000, heard), 0, "an answer may take a while");
-    assert_eq!(reconnects(&mut peers, 1_000, 4_000, heard), 3, "once a second");
-    let answered = |peers: &mut Peers, now| {
+    let only_messages = |peers: &mut Peers, now| peers.record_contact(&id("c1"), Millis(now));
+    assert_eq!(reconnects(&mut peers, 0, 1_000, only_messages), 0, "an answer may take a while");
+    assert_eq!(reconnects(&mut peers, 1_000, 4_000, only_messages), 3, "once a second");
+    let messages_and_answers = |peers: &mut Peers, now| {
         peers.record_contact(&id("c1"), Millis(now));
         peers.on_welcome(&id("c1"), None, 0, &[], Millis(now));
     };
-    assert_eq!(reconnects(&mut peers, 4_000, 8_000, answered), 0);
+    assert_eq!(reconnects(&mut peers, 4_000, 8_000, messages_and_answers), 0);
 }
 
 #[test]
@@ -166,7 +166,7 @@
         move |peers: &mut Peers, now| {
             peers.record_contact(&id("e9"), Millis(now));
             peers.on_hello(&id("e9"), None, true, answered);
-            // The seed answers all along.
+            // The seed always answers.
             peers.record_contact(&id("c1"), Millis(now));
             peers.on_welcome(&id("c1"), None, 0, &[], Millis(now));
         }
@@ -179,12 +179,12 @@
 #[test]
 fn a_hello_tells_whether_the_other_end_answers() {
     let mut peers = entry();
-    let told = |peers: &mut Peers, now| match peers.due_hellos(Millis(now)).pop() {
+    let says_answered = |peers: &mut Peers, now| match peers.due_hellos(Millis(now)).pop() {
         Some((_, node::Message::Hello { answered, .. })) => answered,
         other => panic!("no hello: {other:?}"),
     };
-    assert!(told(&mut peers, 0), "nothing could be answered yet");
-    assert!(!told(&mut peers, 1_200));
+    assert!(says_answered(&mut peers, 0), "nothing could be answered yet");
+    assert!(!says_answered(&mut peers, 1_200));
     peers.on_welcome(&id("c1"), None, 0, &[], Millis(1_300));
-    assert!(told(&mut peers, 1_500));
+    assert!(says_answered(&mut peers, 1_500));
 }
--- a/components/node/tests/relay.rs
+++ b/components/node/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Calls on their way to whoever leads: the last word is true, whatever became of leaders.
+//! Calls relayed to the leader: the final answer is correct, whatever happens to leaders.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use workload::JobSpec;
 
-const PATIENCE: Millis = Millis(1_800);
+const MAX_WAIT: Millis = Millis(1_800);
 
 fn call(verb: Verb) -> Call {
     Call::Job { host: "h".into(), path: "/p/".into(), size: 0, verb }
@@ -23,7 +23,7 @@
     actions.iter().filter(|a| matches!(a, RelayAction::Send(_, Message::Call { .. }))).count()
 }
 
-fn last_word(actions: Vec<RelayAction>) -> Option<Answer> {
+fn final_answer(actions: Vec<RelayAction>) -> Option<Answer> {
     actions.into_iter().find_map(|a| match a {
         RelayAction::Answer(_, answer) => Some(answer),
         RelayAction::Send(..) => None,
@@ -34,7 +34,7 @@
 fn an_answer_is_handed_on_once() {
     let leader = InstanceId::from("l1");
     let mut relay = Relay::new(1);
-    let token = relay.accept(Millis(0), submit(), PATIENCE);
+    let token = relay.accept(Millis(0), submit(), MAX_WAIT);
     assert_eq!(sent(&relay.tick(Millis(0), Some(&leader))), 1);
     let answer = relay.on_answer(Millis(9), token, Answer::Accepted);
     assert_eq!(answer, Some(RelayAction::Answer(token, Answer::Accepted)));
@@ -45,10 +45,10 @@
 #[test]
 fn without_any_leader_a_call_is_surely_not_done() {
     let mut relay = Relay::new(1);
-    relay.accept(Millis(0), submit(), PATIENCE);
+    relay.accept(Millis(0), submit(), MAX_WAIT);
     assert_eq!(relay.tick(Millis(1_000), None), vec![]);
-    let word = last_word(relay.tick(PATIENCE, None));
-    assert!(matches!(word, Some(Answer::NotDone { .. })));
+    let answer = final_answer(relay.tick(MAX_WAIT, None));
+    assert!(matches!(answer, Some(Answer::NotDone { .. })));
 }
 
 #[rstest]
@@ -62,42 +62,42 @@
 ) {
     let leader = InstanceId::from("l1");
     let mut relay = Relay::new(1);
-    relay.accept(Millis(0), call, PATIENCE);
+    relay.accept(Millis(0), call, MAX_WAIT);
     relay.tick(Millis(0), Some(&leader));
-    let word = last_word(relay.tick(PATIENCE, None));
-    assert_eq!(matches!(word, Some(Answer::Unsure { .. })), unsure);
+    let answer = final_answer(relay.tick(MAX_WAIT, None));
+    assert_eq!(matches!(answer, Some(Answer::Unsure { .. })), unsure);
 }
 
 #[test]
 fn a_refusal_after_an_unanswered_try_does_not_hide_that_try() {
     let (old, new) = (InstanceId::from("l1"), InstanceId::from("l2"));
     let mut relay = Relay::new(1);
-    let token = relay.accept(Millis(0), submit(), PATIENCE);
+    let token = relay.accept(Millis(0), submit(), MAX_WAIT);
     relay.tick(Millis(0), Some(&old));
     relay.leader_changed(Millis(100));
     assert_eq!(sent(&relay.tick(Millis(100), Some(&new))), 1);
     let refusal = Answer::NotDone { retry_after: Millis(1) };
     assert_eq!(relay.on_answer(Millis(110), token, refusal), None);
-    let word = last_word(relay.tick(PATIENCE, None));
-    assert!(matches!(word, Some(Answer::Unsure { .. })));
+    let answer = final_answer(relay.tick(MAX_WAIT, None));
+    assert!(matches!(answer, Some(Answer::Unsure { .. })));
 }
 
 #[test]
 fn a_refusal_to_the_only_try_leaves_the_call_surely_not_done() {
     let leader = InstanceId::from("l1");
     let mut relay = Relay::new(1);
-    let token = relay.accept(Millis(0), submit(), PATIENCE);
+    let token = relay.accept(Millis(0), submit(), MAX_WAIT);
     relay.tick(Millis(0), Some(&leader));
     relay.on_answer(Millis(10), token, Answer::NotDone { retry_after: Millis(1) });
-    let word = last_word(relay.tick(PATIENCE, None));
-    assert!(matches!(word, Some(Answer::NotDone { .. })));
+    let answer = final_answer(relay.tick(MAX_WAIT, None));
+    assert!(matches!(answer, Some(Answer::NotDone { .. })));
 }
 
 #[test]
 fn a_call_that_is_not_answered_is_sent_again() {
     let leader = InstanceId::from("l1");
     let mut relay = Relay::new(1);
-    relay.accept(Millis(0), submit(), PATIENCE);
+    relay.accept(Millis(0), submit(), MAX_WAIT);
     let tries: usize = (0..18).map(|t| sent(&relay.tick(Millis(t * 100), Some(&leader)))).sum();
     assert_eq!(tries, 3);
 }
@@ -106,53 +106,57 @@
 fn an_instance_that_is_cut_off_refuses_at_once_what_surely_was_not_taken() {
     let leader = InstanceId::from("l1");
     let mut relay = Relay::new(1);
-    let taken = relay.accept(Millis(0), submit(), PATIENCE);
+    let sent_call = relay.accept(Millis(0), submit(), MAX_WAIT);
     relay.tick(Millis(0), Some(&leader));
-    let fresh = relay.accept(Millis(10), submit(), PATIENCE);
+    let unsent_call = relay.accept(Millis(10), submit(), MAX_WAIT);
     relay.set_reachability(Millis(10), Reachability::Minority);
     let actions = relay.tick(Millis(10), None);
     let refusal = Answer::NotDone { retry_after: Millis(700) };
-    assert_eq!(actions, vec![RelayAction::Answer(fresh, refusal)]);
-    let answer = relay.on_answer(Millis(20), taken, Answer::Accepted);
-    assert_eq!(answer, Some(RelayAction::Answer(taken, Answer::Accepted)));
+    assert_eq!(actions, vec![RelayAction::Answer(unsent_call, refusal)]);
+    let answer = relay.on_answer(Millis(20), sent_call, Answer::Accepted);
+    assert_eq!(answer, Some(RelayAction::Answer(sent_call, Answer::Accepted)));
 }
 
 #[test]
 fn an_instance_that_is_cut_off_says_soon_that_a_call_may_have_been_taken() {
     let leader = InstanceId::from("l1");
     let mut relay = Relay::new(1);
-    relay.accept(Millis(0), submit(), PATIENCE);
+    relay.accept(Millis(0), submit(), MAX_WAIT);
     relay.tick(Millis(0), Some(&leader));
     for now in [500, 550, 600] {
         relay.set_reachability(Millis(now), Reachability::Minority);
-        assert_eq!(last_word(relay.tick(Millis(now), None)), None, "an answer may be on its way");
+        assert_eq!(
+            final_answer(relay.tick(Millis(now), None)),
+            None,
+            "an answer may be on its way"
+        );
     }
-    let word = last_word(relay.tick(Millis(700), None));
-    assert!(matches!(word, Some(Answer::Unsure { .. })), "the caller can ask elsewhere");
+    let answer = final_answer(relay.tick(Millis(700), None));
+    assert!(matches!(answer, Some(Answer::Unsure { .. })), "the caller can ask elsewhere");
 }
 
 #[test]
 fn an_instance_that_hears_nobody_keeps_a_call_for_a_moment_and_then_sends_the_caller_on_at_once() {
     let mut relay = Relay::new(1);
-    relay.accept(Millis(0), submit(), PATIENCE);
+    relay.accept(Millis(0), submit(), MAX_WAIT);
     relay.set_reachability(Millis(0), Reachability::Isolated);
     assert_eq!(relay.tick(Millis(250), None), vec![]);
-    let word = last_word(relay.tick(Millis(300), None));
-    assert_eq!(word, Some(Answer::NotDone { retry_after: Millis::ZERO }));
-    // A longer loss of all voters must not use up the tries of callers within a second.
-    relay.accept(Millis(1_500), submit(), PATIENCE);
+    let answer = final_answer(relay.tick(Millis(300), None));
+    assert_eq!(answer, Some(Answer::NotDone { retry_after: Millis::ZERO }));
+    // A longer loss of all voters must not use up the attempts of callers within a second.
+    relay.accept(Millis(1_500), submit(), MAX_WAIT);
     relay.set_reachability(Millis(1_500), Reachability::Isolated);
-    let word = last_word(relay.tick(Millis(1_800), None));
-    assert_eq!(word, Some(Answer::NotDone { retry_after: Millis(700) }));
+    let answer = final_answer(relay.tick(Millis(1_800), None));
+    assert_eq!(answer, Some(Answer::NotDone { retry_after: Millis(700) }));
 }
 
 #[test]
 fn a_call_waits_on_once_enough_voters_are_back() {
     let leader = InstanceId::from("l1");
     let mut relay = Relay::new(1);
-    relay.accept(Millis(0), submit(), PATIENCE);
+    relay.accept(Millis(0), submit(), MAX_WAIT);
     relay.set_reachability(Millis(0), Reachability::Isolated);
     relay.set_reachability(Millis(200), Reachability::Majority);
     assert_eq!(sent(&relay.tick(Millis(200), Some(&leader))), 1);
-    assert_eq!(last_word(relay.tick(Millis(700), Some(&leader))), None);
+    assert_eq!(final_answer(relay.tick(Millis(700), Some(&leader))), None);
 }
--- a/components/node/tests/stall_detection.rs
+++ b/components/node/tests/stall_detection.rs
@@ -1,4 +1,4 @@
-//! A process finds out that it was away, and why.
+//! A process detects that it did not run for a while, and why.
 
 use clock::Millis;
 use node::{Stall, StallDetector};
@@ -14,23 +14,23 @@
     #[case] suspended: Millis,
     #[case] wanted: Option<(u64, u64)>,
 ) {
-    let mut watch = StallDetector::new(Millis(100), Millis(30));
-    let seen = watch.check(Millis(100) + after, || Millis(30) + suspended);
+    let mut detector = StallDetector::new(Millis(100), Millis(30));
+    let stall = detector.check(Millis(100) + after, || Millis(30) + suspended);
     let wanted = wanted.map(|(away, s)| Stall { elapsed: Millis(away), suspended: Millis(s) });
-    assert_eq!(seen, wanted);
-    let again = watch.check(Millis(150) + after, || Millis(30) + suspended);
-    assert_eq!(again, None, "it is told once");
+    assert_eq!(stall, wanted);
+    let again = detector.check(Millis(150) + after, || Millis(30) + suspended);
+    assert_eq!(again, None, "it is reported once");
 }
 
-/// An instance may look after every event. Looks within a tick read no second clock, and an absence that follows them
-/// is told in full.
+/// An instance may check after every event. Checks within a tick do not read the suspension clock, and a stall that
+/// follows them is reported in full.
 #[test]
 fn looks_within_a_tick_do_not_ask_for_the_suspension() {
-    let mut watch = StallDetector::new(Millis(100), Millis(30));
+    let mut detector = StallDetector::new(Millis(100), Millis(30));
     for now in 101..150 {
-        let seen = watch.check(Millis(now), || unreachable!("within a tick, at {now}"));
-        assert_eq!(seen, None);
+        let stall = detector.check(Millis(now), || unreachable!("within a tick, at {now}"));
+        assert_eq!(stall, None);
     }
-    let seen = watch.check(Millis(5_100), || Millis(2_030));
-    assert_eq!(seen, Some(Stall { elapsed: Millis(5_000), suspended: Millis(2_000) }));
+    let stall = detector.check(Millis(5_100), || Millis(2_030));
+    assert_eq!(stall, Some(Stall { elapsed: Millis(5_000), suspended: Millis(2_000) }));
 }
