--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -58,7 +58,7 @@
     /// The voters, as far as this instance knows.
     pub(crate) voters: Vec<InstanceId>,
     pub(crate) stop_at: Option<Millis>,
-    pub(crate) tick_at: Millis,
+    pub(crate) next_tick_at: Millis,
     pub(crate) next_load_report_at: Millis,
     /// When the settings file is read next.
     pub(crate) next_settings_read_at: Millis,
@@ -76,7 +76,7 @@
         let details = format!("role=control listen={listen} disk={:016x}", disk.0);
         tell(&kinds::NODE_STARTED, &self.settings.name, &details);
         loop {
-            let wait = self.tick_at.since(self.clock.now());
+            let wait = self.next_tick_at.since(self.clock.now());
             let first = timeout(wait.duration(), rx.recv()).await;
             if let Ok(Some(event)) = first {
                 self.on_event(event);
@@ -84,11 +84,11 @@
                     self.on_event(event);
                 }
             }
-            if self.clock.now() >= self.tick_at {
+            if self.clock.now() >= self.next_tick_at {
                 let now = self.clock.now();
                 let stall = self.stall_detector.check(now, || self.clock.suspended());
-                stall.inspect(|a| log_stall(&self.settings.name, a));
-                self.tick_at = now + TICK_INTERVAL;
+                stall.inspect(|s| log_stall(&self.settings.name, s));
+                self.next_tick_at = now + TICK_INTERVAL;
                 self.on_tick();
             }
             self.decide();
--- a/components/node/src/entry.rs
+++ b/components/node/src/entry.rs
@@ -118,7 +118,7 @@
             }
             self.on_tick(now);
             let stall = self.stall_detector.check(now, || self.clock.suspended());
-            stall.inspect(|a| log_stall(&self.settings.name, a));
+            stall.inspect(|s| log_stall(&self.settings.name, s));
             if self.stop_at.is_some_and(|t| now >= t && !self.relay.has_pending()) {
                 break;
             }
@@ -207,8 +207,8 @@
         for (to, hello) in self.peers.due_hellos(now) {
             self.links.send(&to, 0, hello);
         }
-        let reach = self.peers.reach(now);
-        let connected = self.peers.is_connected(now) && reach == Reachability::Majority;
+        let reachability = self.peers.reachability(now);
+        let connected = self.peers.is_connected(now) && reachability == Reachability::Majority;
         if connected != self.connected {
             self.connected = connected;
             let term = self.peers.term();
@@ -216,10 +216,10 @@
             tell(kind, &self.settings.name, &format!("term={term}"));
         }
         self.handle.set_ready(connected);
-        self.relay.set_reachability(now, reach);
+        self.relay.set_reachability(now, reachability);
         // Without a majority of the voters a call would be lost, and its caller would not know whether it was
         // carried out.
-        let leader = self.peers.leader(now).filter(|_| reach == Reachability::Majority);
+        let leader = self.peers.leader(now).filter(|_| reachability == Reachability::Majority);
         let actions = self.relay.tick(now, leader);
         self.perform(now, actions);
     }
--- a/components/node/src/log_thread.rs
+++ b/components/node/src/log_thread.rs
@@ -146,12 +146,12 @@
 
 impl LogThread {
     fn run(mut self, rx: &Receiver<LogInput>) {
-        let mut tick_at = Millis::ZERO;
+        let mut next_tick_at = Millis::ZERO;
         if let Some(replica) = &self.replica {
             self.report_members(replica.node().membership());
         }
         while !self.failed {
-            let wait = tick_at.since(self.clock.now());
+            let wait = next_tick_at.since(self.clock.now());
             match rx.recv_timeout(wait.duration()) {
                 Ok(input) => {
                     self.on_input(input);
@@ -163,8 +163,8 @@
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             let now = self.clock.now();
-            if now >= tick_at {
-                tick_at = now + TICK_INTERVAL;
+            if now >= next_tick_at {
+                next_tick_at = now + TICK_INTERVAL;
                 match &mut self.replica {
                     Some(replica) => replica.tick(now),
                     None => self.reopen_disk(now),
--- a/components/node/src/peers.rs
+++ b/components/node/src/peers.rs
@@ -226,7 +226,7 @@
     }
 
     /// Returns how many of the voters can be reached.
-    pub fn reach(&self, now: Millis) -> Reachability {
+    pub fn reachability(&self, now: Millis) -> Reachability {
         let voters = &self.voters.1;
         let known = || voters.iter().filter_map(|id| self.peers.get(id));
         let in_contact =
--- a/components/node/src/relay.rs
+++ b/components/node/src/relay.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug)]
 struct Pending {
     call: Call,
-    accepted_at: Millis,
+    received_at: Millis,
     /// How long the caller waits.
     max_wait: Millis,
     /// After how long the caller should retry if the call expires.
@@ -92,7 +92,7 @@
         self.last_token += 1;
         let pending = Pending {
             call,
-            accepted_at: now,
+            received_at: now,
             max_wait,
             retry_after: RETRY_AFTER,
             not_accepted_expires_at: now + max_wait.min(MAX_WAIT_NOT_ACCEPTED),
@@ -119,25 +119,25 @@
 
     /// Updates how many voters can be reached. Without a majority calls expire soon, as their callers may
     /// still be served by another instance.
-    pub fn set_reachability(&mut self, now: Millis, reach: Reachability) {
-        self.majority_lost_at = match reach {
+    pub fn set_reachability(&mut self, now: Millis, reachability: Reachability) {
+        self.majority_lost_at = match reachability {
             Reachability::Majority => None,
             _ => Some(self.majority_lost_at.unwrap_or(now)),
         };
         let just_lost =
             self.majority_lost_at.is_some_and(|at| now.since(at) < IMMEDIATE_RETRY_PERIOD);
         for pending in self.pending.values_mut() {
-            let accepted_at = pending.accepted_at;
-            let not_accepted_expires_at = match reach {
-                Reachability::Majority => accepted_at + MAX_WAIT_NOT_ACCEPTED,
+            let received_at = pending.received_at;
+            let not_accepted_expires_at = match reachability {
+                Reachability::Majority => received_at + MAX_WAIT_NOT_ACCEPTED,
                 Reachability::Minority => now,
-                Reachability::Isolated => accepted_at + MAX_WAIT_ISOLATED,
+                Reachability::Isolated => received_at + MAX_WAIT_ISOLATED,
             };
-            let ends_at = accepted_at + pending.max_wait;
+            let ends_at = received_at + pending.max_wait;
             pending.not_accepted_expires_at = not_accepted_expires_at.min(ends_at);
             pending.expires_at =
                 self.majority_lost_at.map_or(ends_at, |at| ends_at.min(at + FINAL_ANSWER_WAIT));
-            pending.retry_after = match reach {
+            pending.retry_after = match reachability {
                 Reachability::Isolated if just_lost => Millis::ZERO,
                 _ => RETRY_AFTER,
             };
--- a/components/node/src/start_control.rs
+++ b/components/node/src/start_control.rs
@@ -74,7 +74,7 @@
         leaving_acknowledgements: LeavingAcknowledgements::default(),
         voters: Vec::new(),
         stop_at: None,
-        tick_at: Millis::ZERO,
+        next_tick_at: Millis::ZERO,
         next_load_report_at: Millis::ZERO,
         next_settings_read_at: Millis::ZERO,
         failed: None,
--- a/components/node/tests/peers.rs
+++ b/components/node/tests/peers.rs
@@ -59,9 +59,13 @@
     peers.on_welcome(&id("c1"), None, 0, &[id("c2"), id("c3")], Millis(1_000));
     peers.set_voters(1, vec![id("c1"), id("c2"), id("c3")]);
     record_contacts(&mut peers, &["c1"], 1_000, 2_000);
-    assert_eq!(peers.reach(Millis(2_000)), Reachability::Majority, "the other two may be starting");
+    assert_eq!(
+        peers.reachability(Millis(2_000)),
+        Reachability::Majority,
+        "the other two may be starting"
+    );
     record_contacts(&mut peers, &["c1"], 2_000, 3_000);
-    assert_eq!(peers.reach(Millis(3_000)), Reachability::Minority);
+    assert_eq!(peers.reachability(Millis(3_000)), Reachability::Minority);
 }
 
 #[test]
@@ -113,22 +117,26 @@
 #[test]
 fn an_instance_that_hears_half_of_the_voters_or_fewer_is_cut_off() {
     let mut peers = entry();
-    assert_eq!(peers.reach(Millis(0)), Reachability::Majority, "nothing is known yet");
+    assert_eq!(peers.reachability(Millis(0)), Reachability::Majority, "nothing is known yet");
     peers.set_voters(3, vec![id("c1"), id("c2"), id("c3")]);
     record_contacts(&mut peers, &["c1", "c2", "c3"], 1_000, 3_000);
     record_contacts(&mut peers, &["c1", "c2"], 3_000, 4_000);
-    assert_eq!(peers.reach(Millis(4_000)), Reachability::Majority);
+    assert_eq!(peers.reachability(Millis(4_000)), Reachability::Majority);
     record_contacts(&mut peers, &["c1"], 4_000, 5_000);
-    assert_eq!(peers.reach(Millis(5_000)), Reachability::Minority);
+    assert_eq!(peers.reachability(Millis(5_000)), Reachability::Minority);
     peers.set_voters(2, vec![id("c1")]);
     assert_eq!(
-        peers.reach(Millis(5_000)),
+        peers.reachability(Millis(5_000)),
         Reachability::Minority,
         "an older term changes no voters"
     );
-    assert_eq!(peers.reach(Millis(5_600)), Reachability::Isolated);
+    assert_eq!(peers.reachability(Millis(5_600)), Reachability::Isolated);
     record_contacts(&mut peers, &["c2"], 6_000, 6_200);
-    assert_eq!(peers.reach(Millis(6_200)), Reachability::Isolated, "the voters are restarting");
+    assert_eq!(
+        peers.reachability(Millis(6_200)),
+        Reachability::Isolated,
+        "the voters are restarting"
+    );
 }
 
 /// Counts the links that are reopened in a period, with a tick every 50 ms.
