--- a/components/node/src/peers.rs
+++ b/components/node/src/peers.rs
@@ -21,8 +21,8 @@
 /// How long after its last message a voter counts as reachable: two and a half hello intervals. The balancer
 /// checks readiness once a second, so each tenth of a second more delays the switch to another zone.
 const VOTER_TIMEOUT: Millis = Millis(500);
-/// How long after its last message an instance is asked to make advice calls: a little more than three hello
-/// intervals. An advice call at an unreachable instance delays a job more than waiting for another instance.
+/// How long after its last message an instance is asked to make advice calls: three and a half hello intervals. An
+/// advice call at an unreachable instance delays a job more than waiting for another instance.
 const ADVICE_CALLER_TIMEOUT: Millis = Millis(700);
 /// For how long after an instance was discovered its missing messages are ignored: if all instances lost power
 /// together, their starts differ by up to half a second.
