--- a/components/events/src/catalogue.rs
+++ b/components/events/src/catalogue.rs
@@ -134,6 +134,6 @@
 pub use kinds::CATALOGUE;
 
 /// Finds a kind by its number.
-pub fn find(number: u32) -> Option<&'static Kind> {
+pub fn find_kind(number: u32) -> Option<&'static Kind> {
     CATALOGUE.iter().copied().find(|k| k.number == number)
 }
--- a/components/events/src/journal.rs
+++ b/components/events/src/journal.rs
@@ -7,8 +7,8 @@
 use model::Name;
 use serde::{Deserialize, Serialize};
 
-use crate::catalogue::{Kind, Level, find};
-use crate::order::LogicalClock;
+use crate::catalogue::{Kind, Level, find_kind};
+use crate::logical_clock::LogicalClock;
 
 /// How many events a process keeps.
 const KEPT: usize = 20_000;
@@ -88,7 +88,7 @@
     /// Gives the event, unless its kind is from a newer version.
     fn event(self) -> Option<Event> {
         let EventCopy { order, wall, instance, number, text, subject } = self;
-        Some(Event { order, wall, instance, kind: find(number)?, text, subject })
+        Some(Event { order, wall, instance, kind: find_kind(number)?, text, subject })
     }
 }
 
@@ -155,7 +155,7 @@
     }
 
     /// Notes an event: into the journal, and as one line into the log.
-    pub fn note(&self, kind: &'static Kind, subject: Subject, text: impl Into<String>) {
+    pub fn record(&self, kind: &'static Kind, subject: Subject, text: impl Into<String>) {
         let event = Event {
             order: self.clock.next(),
             wall: wall_now(),
@@ -174,7 +174,7 @@
     }
 
     /// Gives up to `most` own events that no copy was made of yet.
-    pub fn to_copy(&self, most: usize) -> Vec<EventCopy> {
+    pub fn take_uncopied(&self, most: usize) -> Vec<EventCopy> {
         let mut kept = self.lock();
         let n = kept.uncopied.len().min(most);
         kept.uncopied.drain(..n).collect()
@@ -186,7 +186,7 @@
     }
 
     /// Keeps copies of another instance's events.
-    pub fn keep_copies(&self, copies: Vec<EventCopy>) {
+    pub fn add_copies(&self, copies: Vec<EventCopy>) {
         let mut kept = self.lock();
         copies.into_iter().filter_map(EventCopy::event).for_each(|e| kept.push(e));
     }
--- a/components/events/src/lib.rs
+++ b/components/events/src/lib.rs
@@ -4,14 +4,14 @@
 
 mod catalogue;
 mod journal;
-mod lines;
+mod line_queue;
 mod logging;
+mod logical_clock;
 mod merge;
-mod order;
 
-pub use catalogue::{CATALOGUE, Kind, Level, find, kinds};
+pub use catalogue::{CATALOGUE, Kind, Level, find_kind, kinds};
 pub use journal::{Event, EventCopy, Filter, Journal, Subject};
-pub use lines::LineQueue;
-pub use logging::{LogFormat, end_on_panic, start_logging, start_logging_to_stdout, tell};
+pub use line_queue::LineQueue;
+pub use logging::{LogFormat, exit_on_panic, log_decision, start_logging, start_logging_to_stdout};
+pub use logical_clock::LogicalClock;
 pub use merge::{Gap, Line, gaps, is_about, merge, read_lines};
-pub use order::LogicalClock;
--- a/components/events/src/logging.rs
+++ b/components/events/src/logging.rs
@@ -8,7 +8,7 @@
 
 use crate::catalogue::kinds::PROCESS_PANICKED;
 use crate::catalogue::{Kind, Level};
-use crate::lines::LineQueue;
+use crate::line_queue::LineQueue;
 use log::kv::{Key, Value, VisitSource};
 
 /// How log lines are written.
@@ -63,13 +63,13 @@
 
 /// Has every panic told in the log, with its place, and end the process: one thread without the
 /// others would keep a process that no longer does its work.
-pub fn end_on_panic() {
+pub fn exit_on_panic() {
     let before = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
         let place = panic.location().map(ToString::to_string).unwrap_or_default();
         let what = panic.payload_as_str().unwrap_or_default();
         let thread = std::thread::current().name().unwrap_or_default().to_string();
-        tell(&PROCESS_PANICKED, &place, &format!("thread={thread} what={what:?}"));
+        log_decision(&PROCESS_PANICKED, &place, &format!("thread={thread} what={what:?}"));
         before(panic);
         // The line is on its way through the queue.
         std::thread::sleep(std::time::Duration::from_millis(300));
@@ -84,7 +84,7 @@
 const DECISIONS: &str = "decision";
 
 /// Writes one line about a decision: what it is about, and the inputs that decided it.
-pub fn tell(kind: &'static Kind, subject: &str, details: &str) {
+pub fn log_decision(kind: &'static Kind, subject: &str, details: &str) {
     let level = match kind.level {
         Level::Info => log::Level::Info,
         Level::Warn => log::Level::Warn,
--- a/components/events/tests/catalogue.rs
+++ b/components/events/tests/catalogue.rs
@@ -43,10 +43,10 @@
 #[test]
 fn a_journal_filters_and_keeps_copies() {
     let (a, b) = (Journal::new("a".into()), Journal::new("b".into()));
-    a.note(&kinds::JOB_CREATED, Subject::job(&"x"), "one");
-    a.note(&kinds::JOB_CREATED, Subject::job(&"y"), "two");
-    b.keep_copies(a.to_copy(10));
-    assert!(a.to_copy(10).is_empty(), "each event is copied once");
+    a.record(&kinds::JOB_CREATED, Subject::job(&"x"), "one");
+    a.record(&kinds::JOB_CREATED, Subject::job(&"y"), "two");
+    b.add_copies(a.take_uncopied(10));
+    assert!(a.take_uncopied(10).is_empty(), "each event is copied once");
     let filter = Filter { subject: Subject::job(&"y"), ..Filter::default() };
     let found = b.read(&filter);
     assert_eq!(found.len(), 1);
@@ -58,14 +58,14 @@
 #[test]
 fn a_journal_that_was_lost_is_made_whole_from_another_once() {
     let (a, b) = (Journal::new("a".into()), Journal::new("b".into()));
-    a.note(&kinds::JOB_CREATED, Subject::job(&"x"), "one");
-    b.note(&kinds::JOB_ENDED, Subject::job(&"x"), "two");
-    b.keep_copies(a.to_copy(10));
+    a.record(&kinds::JOB_CREATED, Subject::job(&"x"), "one");
+    b.record(&kinds::JOB_ENDED, Subject::job(&"x"), "two");
+    b.add_copies(a.take_uncopied(10));
     // The first process has died; the one after it gets back what both knew, however often it asks.
     let again = Journal::new("a".into());
-    again.keep_copies(b.all_copies());
-    again.keep_copies(b.all_copies());
+    again.add_copies(b.all_copies());
+    again.add_copies(b.all_copies());
     let texts: Vec<String> = again.read(&Filter::default()).into_iter().map(|e| e.text).collect();
     assert_eq!(texts, ["one", "two"]);
-    assert!(again.to_copy(10).is_empty(), "copies are not copied on");
+    assert!(again.take_uncopied(10).is_empty(), "copies are not copied on");
 }
--- a/components/instance/src/callers.rs
+++ b/components/instance/src/callers.rs
@@ -203,7 +203,7 @@
             Class::Normal => "request_wait_normal",
             Class::Bulk => "request_wait_bulk",
         };
-        lock(&self.shared.timings).note(name, waited);
+        lock(&self.shared.timings).record(name, waited);
     }
 
     async fn call_upstream(&self, incoming: &Incoming, upstream: &Name) -> CallEnd {
@@ -234,7 +234,7 @@
             self.clients.close(&slot.upstream);
             let text = format!("{} answered another request", slot.upstream);
             let subject = Subject::request(&incoming.id);
-            self.shared.journal.note(&kinds::ANSWER_CROSSED, subject, text);
+            self.shared.journal.record(&kinds::ANSWER_CROSSED, subject, text);
         }
         end
     }
@@ -265,9 +265,9 @@
                 ("request_unknown", Some((&kinds::REQUEST_UNKNOWN, reason.to_string())))
             }
         };
-        lock(&self.shared.timings).note_micros(name, micros);
+        lock(&self.shared.timings).record_micros(name, micros);
         if let Some((kind, text)) = event {
-            self.shared.journal.note(kind, Subject::request(&incoming.id), text);
+            self.shared.journal.record(kind, Subject::request(&incoming.id), text);
         }
     }
 }
--- a/components/instance/src/core.rs
+++ b/components/instance/src/core.rs
@@ -162,7 +162,7 @@
     /// Runs until [`Input::Stop`].
     pub(crate) fn run(mut self, inputs: &Receiver<Input>, failed: &AtomicBool) {
         if let Err(e) = self.serve(inputs) {
-            self.shared.journal.note(&kinds::DISK_FAILED, Subject::default(), e.to_string());
+            self.shared.journal.record(&kinds::DISK_FAILED, Subject::default(), e.to_string());
             failed.store(true, std::sync::atomic::Ordering::SeqCst);
         }
     }
@@ -293,7 +293,7 @@
         let index = self.cell.applied;
         self.replica.compact(index, self.cell.encode().into())?;
         let text = format!("up to entry {index}");
-        self.shared.journal.note(&kinds::LOG_COMPACTED, Subject::default(), text);
+        self.shared.journal.record(&kinds::LOG_COMPACTED, Subject::default(), text);
         Ok(())
     }
 
--- a/components/instance/src/core/apply.rs
+++ b/components/instance/src/core/apply.rs
@@ -24,7 +24,7 @@
                     self.cell.skip(snapshot.last_index);
                     let text = format!("up to entry {}", snapshot.last_index);
                     let journal = &self.shared.journal;
-                    journal.note(&kinds::SNAPSHOT_INSTALLED, Subject::default(), text);
+                    journal.record(&kinds::SNAPSHOT_INSTALLED, Subject::default(), text);
                     let now = self.now();
                     self.role.reload(now, &self.cell);
                 }
@@ -78,7 +78,7 @@
             && holder == self.shared.id()
         {
             let text = format!("zone {zone} epoch {index}");
-            journal.note(&kinds::EPOCH_GRANTED, Subject::default(), text);
+            journal.record(&kinds::EPOCH_GRANTED, Subject::default(), text);
         }
         if self.replica.node().role() != Role::Leader {
             return;
@@ -86,29 +86,29 @@
         match command {
             Command::CreateJob { spec, .. } => {
                 let text = format!("{} tasks for organisation {}", spec.tasks, spec.organisation);
-                journal.note(&kinds::JOB_CREATED, Subject::job(&spec.name), text);
+                journal.record(&kinds::JOB_CREATED, Subject::job(&spec.name), text);
             }
             Command::CancelJob { name } => {
-                journal.note(&kinds::JOB_CANCELLED, Subject::job(name), "by its operator");
+                journal.record(&kinds::JOB_CANCELLED, Subject::job(name), "by its operator");
             }
             Command::EndTasks { .. } => {
                 for name in were_active {
                     if self.cell.jobs.get(name).is_some_and(|j| !j.is_active()) {
-                        journal.note(&kinds::JOB_ENDED, Subject::job(name), "all tasks ended");
+                        journal.record(&kinds::JOB_ENDED, Subject::job(name), "all tasks ended");
                     }
                 }
             }
             Command::Drain { target, on } => {
                 let text = format!("{target} {}", if *on { "out of use" } else { "in use" });
-                journal.note(&kinds::DRAIN_CHANGED, Subject::default(), text);
+                journal.record(&kinds::DRAIN_CHANGED, Subject::default(), text);
             }
             Command::MoveShare { job, from, to, .. } => {
                 let text = format!("from zone {from} to zone {to}");
-                journal.note(&kinds::SHARE_MOVED, Subject::job(job), text);
+                journal.record(&kinds::SHARE_MOVED, Subject::job(job), text);
             }
             Command::ReleaseEpoch { zone, epoch } => {
                 let text = format!("zone {zone} epoch {epoch}");
-                journal.note(&kinds::EPOCH_RELEASED, Subject::default(), text);
+                journal.record(&kinds::EPOCH_RELEASED, Subject::default(), text);
             }
             _ => {}
         }
@@ -132,7 +132,7 @@
             let version = self.cell.config.version;
             self.shared.put_config(self.cell.config.clone());
             let text = format!("version {version}");
-            self.shared.journal.note(&kinds::CONFIG_APPLIED, Subject::default(), text);
+            self.shared.journal.record(&kinds::CONFIG_APPLIED, Subject::default(), text);
         }
         Ok(())
     }
@@ -141,15 +141,15 @@
         let journal = &self.shared.journal;
         match notice {
             Notice::Bootstrapped => {
-                journal.note(&kinds::CELL_FOUNDED, Subject::default(), "the cell is founded");
+                journal.record(&kinds::CELL_FOUNDED, Subject::default(), "the cell is founded");
             }
             Notice::BecameLeader { term } => {
-                journal.note(&kinds::LEADER_ELECTED, Subject::default(), format!("term {term}"));
+                journal.record(&kinds::LEADER_ELECTED, Subject::default(), format!("term {term}"));
                 self.zone_supervisor = ZoneSupervisor::new(self.replica.node().leads_since());
             }
             Notice::Resigned { term, reason } => {
                 let text = format!("term {term}: {reason}");
-                journal.note(&kinds::LEADER_RESIGNED, Subject::default(), text);
+                journal.record(&kinds::LEADER_RESIGNED, Subject::default(), text);
                 for asker in self.in_log.take_all() {
                     self.answer(asker, Outcome::Unknown);
                 }
@@ -158,7 +158,7 @@
                 let voters: Vec<&str> = m.voters.keys().map(|v| v.as_str()).collect();
                 let learners: Vec<&str> = m.learners.keys().map(|v| v.as_str()).collect();
                 let text = format!("voters {voters:?}, learners {learners:?}");
-                journal.note(&kinds::MEMBERS_CHANGED, Subject::default(), text);
+                journal.record(&kinds::MEMBERS_CHANGED, Subject::default(), text);
             }
         }
     }
--- a/components/instance/src/core/event_logging.rs
+++ b/components/instance/src/core/event_logging.rs
@@ -13,15 +13,15 @@
         match change {
             Some(Authority::Full) => {
                 let text = format!("zone {zone}");
-                journal.note(&kinds::ZONE_LEASE_HELD, Subject::default(), text);
+                journal.record(&kinds::ZONE_LEASE_HELD, Subject::default(), text);
             }
             Some(Authority::ZoneOnly) => {
                 let text = format!("zone {zone}: its other instances pledge not to allocate");
-                journal.note(&kinds::ZONE_LEASE_LOST, Subject::default(), text);
+                journal.record(&kinds::ZONE_LEASE_LOST, Subject::default(), text);
             }
             Some(Authority::RenewOnly) => {
                 let text = format!("zone {zone}: nothing new is started");
-                journal.note(&kinds::ZONE_LEASE_LOST, Subject::default(), text);
+                journal.record(&kinds::ZONE_LEASE_LOST, Subject::default(), text);
             }
             None => {}
         }
@@ -32,15 +32,15 @@
         match note {
             AllocatorEvent::WorkerReported { worker, adopted } => {
                 let text = format!("{worker} reported, {adopted} of its tasks were taken over");
-                journal.note(&kinds::WORKER_REPORTED, Subject::default(), text);
+                journal.record(&kinds::WORKER_REPORTED, Subject::default(), text);
             }
             AllocatorEvent::WorkerLost { worker } => {
                 let text = format!("{worker} is lost");
-                journal.note(&kinds::WORKER_LOST, Subject::default(), text);
+                journal.record(&kinds::WORKER_LOST, Subject::default(), text);
             }
             AllocatorEvent::WorkerQuarantined { worker } => {
                 let text = format!("{worker} fails tasks of several jobs");
-                journal.note(&kinds::WORKER_ASIDE, Subject::default(), text);
+                journal.record(&kinds::WORKER_ASIDE, Subject::default(), text);
             }
             AllocatorEvent::TaskStarted { task, worker, waited, class } => {
                 let name = match class {
@@ -48,27 +48,27 @@
                     model::Class::Normal => "task_wait_normal",
                     model::Class::Bulk => "task_wait_bulk",
                 };
-                lock(&self.shared.timings).note(name, waited);
+                lock(&self.shared.timings).record(name, waited);
                 let text = format!("given to {worker} after {waited}");
-                journal.note(&kinds::TASK_STARTED, Subject::task(&task), text);
+                journal.record(&kinds::TASK_STARTED, Subject::task(&task), text);
             }
             AllocatorEvent::TaskEnded { task, worker, how } => {
                 let text = format!("on {worker}: {how}");
-                journal.note(&kinds::TASK_ENDED, Subject::task(&task), text);
+                journal.record(&kinds::TASK_ENDED, Subject::task(&task), text);
             }
             AllocatorEvent::TaskEvicted { task } => {
-                journal.note(&kinds::TASK_EVICTED, Subject::task(&task), "makes room");
+                journal.record(&kinds::TASK_EVICTED, Subject::task(&task), "makes room");
             }
             AllocatorEvent::JobUnschedulable { job, reason } => {
-                journal.note(&kinds::JOB_HOPELESS, Subject::job(&job), reason.to_string());
+                journal.record(&kinds::JOB_HOPELESS, Subject::job(&job), reason.to_string());
             }
             AllocatorEvent::DuplicateTask { task, worker } => {
                 let text = format!("also on {worker}");
-                journal.note(&kinds::TASK_TWICE, Subject::task(&task), text);
+                journal.record(&kinds::TASK_TWICE, Subject::task(&task), text);
             }
             AllocatorEvent::EpochOutdated { newer } => {
                 let text = format!("epoch {newer} is known");
-                journal.note(&kinds::EPOCH_OUTDATED, Subject::default(), text);
+                journal.record(&kinds::EPOCH_OUTDATED, Subject::default(), text);
             }
         }
     }
--- a/components/instance/src/core/messages.rs
+++ b/components/instance/src/core/messages.rs
@@ -45,7 +45,7 @@
             Message::Loan(loan) => lock(&self.shared.plane).take_loan(now, &loan),
             Message::Leaving(name) => self.on_leaving(&name, false),
             Message::Events(copies) if from != *self.shared.id() => {
-                self.shared.journal.keep_copies(copies);
+                self.shared.journal.add_copies(copies);
             }
             Message::Events(_) => {}
             Message::EventsAsk => {
@@ -54,7 +54,7 @@
                 }
             }
             Message::EventsKept(copies) => {
-                self.shared.journal.keep_copies(copies);
+                self.shared.journal.add_copies(copies);
                 self.copy_asks_left = 0;
             }
         }
--- a/components/instance/src/core/reads.rs
+++ b/components/instance/src/core/reads.rs
@@ -56,7 +56,7 @@
         self.role.ready(self.cell.applied);
         if !self.shared.is_ready() {
             let text = format!("caught up at entry {}", self.cell.applied);
-            self.shared.journal.note(&kinds::CAUGHT_UP, Subject::default(), text);
+            self.shared.journal.record(&kinds::CAUGHT_UP, Subject::default(), text);
             self.shared.set_ready();
         }
     }
--- a/components/instance/src/core/upstreams.rs
+++ b/components/instance/src/core/upstreams.rs
@@ -36,7 +36,7 @@
             return;
         }
         let text = format!("{name} is leaving");
-        self.shared.journal.note(&kinds::UPSTREAM_LEAVING, Subject::default(), text);
+        self.shared.journal.record(&kinds::UPSTREAM_LEAVING, Subject::default(), text);
         if tell {
             self.send_to_zone(&Message::Leaving(name.clone()));
         }
--- a/components/instance/src/core/zone_messages.rs
+++ b/components/instance/src/core/zone_messages.rs
@@ -50,7 +50,7 @@
             self.send_to_mates(&Message::EventsAsk);
         }
         if is_due(now, &mut self.timers.copies, COPIES_EVERY) {
-            let copies = self.shared.journal.to_copy(MOST_COPIES);
+            let copies = self.shared.journal.take_uncopied(MOST_COPIES);
             if !copies.is_empty() {
                 self.send_to_zone(&Message::Events(copies));
             }
--- a/components/instance/src/disk.rs
+++ b/components/instance/src/disk.rs
@@ -42,7 +42,7 @@
         let (file_disk, found) = FileDisk::open(folder)?;
         if file_disk.truncated_bytes() > 0 {
             let text = format!("{} bytes", file_disk.truncated_bytes());
-            shared.journal.note(&kinds::TAIL_CUT, Subject::default(), text);
+            shared.journal.record(&kinds::TAIL_CUT, Subject::default(), text);
         }
         disk = Box::new(file_disk);
         restored = found;
--- a/components/instance/src/links.rs
+++ b/components/instance/src/links.rs
@@ -38,7 +38,7 @@
             }
             Err(e) => {
                 let text = e.to_string();
-                shared.journal.note(&kinds::MESSAGE_UNREADABLE, Subject::default(), text);
+                shared.journal.record(&kinds::MESSAGE_UNREADABLE, Subject::default(), text);
             }
         }),
     )
@@ -53,7 +53,7 @@
         let refused: BTreeSet<InstanceId> = names.map(InstanceId::from).collect();
         if refused != before {
             let text = format!("{refused:?}");
-            shared.journal.note(&kinds::LINK_REFUSED, Subject::default(), text);
+            shared.journal.record(&kinds::LINK_REFUSED, Subject::default(), text);
             before = refused.clone();
             let query = move |core: &Core| core.refuse_links(refused);
             if core.send(Input::Query(Box::new(query))).is_err() {
--- a/components/instance/src/request_plane.rs
+++ b/components/instance/src/request_plane.rs
@@ -8,7 +8,7 @@
     Admission, Demand, Dispatch, Loan, RequestInfo, RequestOutcome, Router, RouterConfig,
     SelectionPolicy, SlotSharing, TargetState,
 };
-use settings::Instance;
+use settings::Settings;
 use tokio::sync::oneshot;
 
 /// The chosen ways; docs/design/requests.md says by which measurement.
@@ -51,7 +51,7 @@
 }
 
 impl Plane {
-    pub(crate) fn new(settings: &Instance) -> Plane {
+    pub(crate) fn new(settings: &Settings) -> Plane {
         Plane {
             router: Router::new(
                 router_config(&CellConfig::default()),
--- a/components/instance/src/server.rs
+++ b/components/instance/src/server.rs
@@ -9,7 +9,7 @@
 use errors::{Error, Result, io};
 use events::{Subject, kinds};
 use ntex::time::{Millis as Wait, sleep};
-use settings::Instance;
+use settings::Settings;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use tokio::sync::{mpsc::unbounded_channel, oneshot};
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 /// If it cannot start, or if its disk fails while it runs.
-pub fn run(settings: Instance) -> Result<()> {
+pub fn run(settings: Settings) -> Result<()> {
     let callers = bind(settings.own.callers)?;
     let operators = bind(settings.operators)?;
     let shared = Arc::new(Shared::new(settings));
@@ -58,7 +58,7 @@
     let served = runtime("servers")
         .block_on(async move { serve(front, core_tx, callers, operators, stop, failed).await });
     let ended = core_thread.join();
-    shared.journal.note(&kinds::INSTANCE_STOPPED, Subject::default(), "stopped");
+    shared.journal.record(&kinds::INSTANCE_STOPPED, Subject::default(), "stopped");
     ended.map_err(|_| Error::Refused("the core has failed".into()))?;
     served
 }
@@ -112,7 +112,7 @@
         "zone {} callers {} operators {}",
         own.zone, own.callers, shared.settings.operators
     );
-    shared.journal.note(&kinds::INSTANCE_STARTED, Subject::default(), text);
+    shared.journal.record(&kinds::INSTANCE_STARTED, Subject::default(), text);
     while !stop.load(Ordering::SeqCst) && !failed.load(Ordering::SeqCst) {
         sleep(WATCH_EVERY).await;
     }
@@ -130,7 +130,7 @@
 /// The planned stop: the balancer is told first, then the epoch and leadership are handed over,
 /// then nothing new is taken, and what runs is finished.
 async fn wind_down(shared: &Arc<Shared>, core: &Sender<Input>) {
-    shared.journal.note(&kinds::INSTANCE_STOPPING, Subject::default(), "told to stop");
+    shared.journal.record(&kinds::INSTANCE_STOPPING, Subject::default(), "told to stop");
     shared.set_stopping();
     sleep(Wait(shared.settings.drain_notice.0 as u32)).await;
     let (tx, rx) = oneshot::channel();
--- a/components/instance/src/shared.rs
+++ b/components/instance/src/shared.rs
@@ -10,7 +10,7 @@
 use events::Journal;
 use metrics::Timings;
 use model::{InstanceId, Name, ZoneId};
-use settings::Instance;
+use settings::Settings;
 
 use crate::request_plane::Plane;
 
@@ -22,7 +22,7 @@
 /// What the core shows the servers' threads.
 pub(crate) struct Shared {
     /// The settings.
-    pub(crate) settings: Instance,
+    pub(crate) settings: Settings,
     /// The clock that all timeouts are judged by.
     pub(crate) clock: SystemClock,
     /// The events.
@@ -40,7 +40,7 @@
 }
 
 impl Shared {
-    pub(crate) fn new(settings: Instance) -> Shared {
+    pub(crate) fn new(settings: Settings) -> Shared {
         let journal = Journal::new(settings.own.id.0.clone());
         let plane = Plane::new(&settings);
         Shared {
--- a/components/metrics/src/histogram.rs
+++ b/components/metrics/src/histogram.rs
@@ -36,14 +36,14 @@
 
 impl Timings {
     /// Notes a timing in thousandths of a millisecond.
-    pub fn note_micros(&mut self, name: &'static str, micros: u64) {
+    pub fn record_micros(&mut self, name: &'static str, micros: u64) {
         let histogram = self.by_name.entry(name).or_insert_with(empty);
         histogram.saturating_record(micros);
     }
 
     /// Notes a timing in milliseconds.
-    pub fn note(&mut self, name: &'static str, span: Millis) {
-        self.note_micros(name, span.0.saturating_mul(1_000));
+    pub fn record(&mut self, name: &'static str, span: Millis) {
+        self.record_micros(name, span.0.saturating_mul(1_000));
     }
 
     /// Gives the median, 99th percentile and count of each.
--- a/components/metrics/src/registry.rs
+++ b/components/metrics/src/registry.rs
@@ -71,7 +71,7 @@
     }
 
     /// Notes how long something took, in milliseconds. The name must end in `_seconds`.
-    pub fn note_ms(&self, name: &'static str, ms: u64) {
+    pub fn record_ms(&self, name: &'static str, ms: u64) {
         let mut kept = self.lock();
         let histogram = kept.seconds.entry(name).or_insert_with(empty);
         histogram.saturating_record(ms.saturating_mul(1_000));
--- a/components/metrics/tests/registry.rs
+++ b/components/metrics/tests/registry.rs
@@ -26,7 +26,7 @@
     registry.add_for_service("crashes_total", &"\"photo\"".into(), 1);
     registry.set("workers", 48);
     for ms in [10, 20, 1_000] {
-        registry.note_ms("commit_seconds", ms);
+        registry.record_ms("commit_seconds", ms);
     }
     let text = registry.text();
     let figures = parse(&text);
--- a/components/node/src/control.rs
+++ b/components/node/src/control.rs
@@ -6,7 +6,7 @@
 use clock::{Clock, Millis, SystemClock, wall_now};
 use dispatch::{Input, Moment};
 use errors::{Error, Result};
-use events::{kinds, tell};
+use events::{kinds, log_decision};
 use metrics::Registry;
 use model::InstanceId;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
@@ -67,14 +67,14 @@
 }
 
 pub(crate) fn tell_disk_unusable(settings: &NodeSettings, e: &Error) {
-    tell(&kinds::DISK_UNUSABLE, &settings.name, &format!("fault={:?}", e.to_string()));
+    log_decision(&kinds::DISK_UNUSABLE, &settings.name, &format!("fault={:?}", e.to_string()));
 }
 
 impl Control {
     pub(crate) async fn run(mut self, mut rx: UnboundedReceiver<ControlEvent>) -> Result<()> {
         let (listen, disk) = (self.settings.listen, self.log.disk);
         let details = format!("role=control listen={listen} disk={:016x}", disk.0);
-        tell(&kinds::NODE_STARTED, &self.settings.name, &details);
+        log_decision(&kinds::NODE_STARTED, &self.settings.name, &details);
         loop {
             let wait = self.tick_at.since(self.clock.now());
             let first = timeout(wait.duration(), rx.recv()).await;
@@ -100,7 +100,7 @@
             }
         }
         sleep(LAST_ANSWERS.duration()).await;
-        tell(&kinds::NODE_STOPPED, &self.settings.name, "");
+        log_decision(&kinds::NODE_STOPPED, &self.settings.name, "");
         Ok(())
     }
 
@@ -199,7 +199,11 @@
                 }
             }
             LogEvent::Deposed { term, why } => {
-                tell(&kinds::TERM_ENDED, &self.settings.name, &format!("term={term} why={why:?}"));
+                log_decision(
+                    &kinds::TERM_ENDED,
+                    &self.settings.name,
+                    &format!("term={term} why={why:?}"),
+                );
                 self.leading = None;
                 self.forget_services();
                 self.peers.clear_leader(&self.settings.id());
@@ -215,12 +219,12 @@
                 let names: Vec<&str> = voters.iter().map(|v| v.as_str()).collect();
                 let details = format!("voters={} learners={learners}", names.join(","));
                 self.voters = voters;
-                tell(&kinds::VOTERS_CHANGED, &self.settings.name, &details);
+                log_decision(&kinds::VOTERS_CHANGED, &self.settings.name, &details);
             }
             LogEvent::DiskFailed(e) => tell_disk_unusable(&self.settings, &e),
             LogEvent::DiskBack(after) => {
                 let details = format!("after_ms={}", after.0);
-                tell(&kinds::DISK_USABLE, &self.settings.name, &details);
+                log_decision(&kinds::DISK_USABLE, &self.settings.name, &details);
             }
             LogEvent::Failed(e) => self.failed = Some(e),
         }
--- a/components/node/src/entry.rs
+++ b/components/node/src/entry.rs
@@ -4,7 +4,7 @@
 
 use clock::{Clock, Millis, SystemClock};
 use errors::Result;
-use events::{kinds, tell};
+use events::{kinds, log_decision};
 use metrics::Registry;
 use model::InstanceId;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
@@ -103,7 +103,11 @@
 impl Entry {
     async fn run(mut self, mut rx: UnboundedReceiver<Event>) {
         let listen = self.settings.listen;
-        tell(&kinds::NODE_STARTED, &self.settings.name, &format!("role=entry listen={listen}"));
+        log_decision(
+            &kinds::NODE_STARTED,
+            &self.settings.name,
+            &format!("role=entry listen={listen}"),
+        );
         loop {
             let first = timeout(TICK.duration(), rx.recv()).await;
             // One reading serves for all that has come and for what is done about it.
@@ -122,7 +126,7 @@
             }
         }
         sleep(LAST_ANSWERS.duration()).await;
-        tell(&kinds::NODE_STOPPED, &self.settings.name, "");
+        log_decision(&kinds::NODE_STOPPED, &self.settings.name, "");
     }
 
     fn take(&mut self, now: Millis, event: Event) {
@@ -208,7 +212,7 @@
             self.connected = connected;
             let term = self.peers.term();
             let kind = if connected { &kinds::LEADER_KNOWN } else { &kinds::LEADER_LOST };
-            tell(kind, &self.settings.name, &format!("term={term}"));
+            log_decision(kind, &self.settings.name, &format!("term={term}"));
         }
         self.handle.set_ready(connected);
         self.relay.set_reachability(now, reach);
--- a/components/node/src/leadership.rs
+++ b/components/node/src/leadership.rs
@@ -5,7 +5,7 @@
 
 use clock::{Clock, Millis};
 use dispatch::{Action, Answer, Dispatcher, Input, OrganisationFigures, Setup};
-use events::{kinds, tell};
+use events::{kinds, log_decision};
 use model::{InstanceId, Name};
 
 use crate::control::Control;
@@ -31,7 +31,7 @@
     pub(crate) fn lead(&mut self, term: u64, replicated: workload::ReplicatedState) {
         let (jobs, workers) = (replicated.jobs().len(), replicated.workers().len());
         let details = format!("term={term} jobs={jobs} workers={workers}");
-        tell(&kinds::TERM_BEGUN, &self.settings.name, &details);
+        log_decision(&kinds::TERM_BEGUN, &self.settings.name, &details);
         let m = self.moment();
         let setup =
             Setup { limits: self.settings.limits, term, reader: self.reader.clone(), replicated };
@@ -50,7 +50,7 @@
     pub(crate) fn measure_commit(&mut self, now: Millis, batch: u64) {
         let Some(leading) = &mut self.leading else { return };
         while let Some(at) = leading.pop_committed(batch) {
-            self.metrics.note_ms("heathvale_commit_seconds", now.since(at).0);
+            self.metrics.record_ms("heathvale_commit_seconds", now.since(at).0);
         }
     }
 
@@ -106,7 +106,7 @@
             connections.limit,
             connections.opened,
         );
-        tell(&kinds::LOAD_TOLD, &self.settings.name, &details);
+        log_decision(&kinds::LOAD_TOLD, &self.settings.name, &details);
     }
 
     fn measure_organisations(&self, of: &BTreeMap<Name, OrganisationFigures>) {
@@ -210,7 +210,7 @@
             }
             Action::LogEvent { kind, subject, details } => {
                 self.metrics.add("heathvale_decisions_total", kind.name, 1);
-                tell(kind, &subject, &details);
+                log_decision(kind, &subject, &details);
             }
         }
     }
--- a/components/node/src/node_handle.rs
+++ b/components/node/src/node_handle.rs
@@ -7,7 +7,7 @@
 use clock::Millis;
 use dispatch::{Answer, Call, WorkerAnnouncement};
 use errors::{Error, Result};
-use events::{kinds, tell};
+use events::{kinds, log_decision};
 use metrics::Registry;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -93,7 +93,7 @@
         if self.metrics.add(FAULTY_ANNOUNCEMENTS, fault, 1) == 1 {
             let subject: String = id.escape_default().take(LONGEST_SUBJECT).collect();
             let details = format!("fault={fault} counted_as={FAULTY_ANNOUNCEMENTS}");
-            tell(&kinds::ANNOUNCEMENT_FAULTY, &subject, &details);
+            log_decision(&kinds::ANNOUNCEMENT_FAULTY, &subject, &details);
         }
     }
 
--- a/components/node/src/pending_calls.rs
+++ b/components/node/src/pending_calls.rs
@@ -5,7 +5,7 @@
 
 use clock::Millis;
 use dispatch::{Answer, Call, Verb};
-use events::{kinds, tell};
+use events::{kinds, log_decision};
 use metrics::Registry;
 use model::Name;
 use tokio::sync::oneshot;
@@ -49,17 +49,17 @@
     pub(crate) fn answer(&mut self, now: Millis, token: u64, answer: Answer) {
         let Some(waiter) = self.by_token.remove(&token) else { return };
         let waited = now.since(waiter.since).0;
-        self.metrics.note_ms("heathvale_call_seconds", waited);
+        self.metrics.record_ms("heathvale_call_seconds", waited);
         self.metrics.add("heathvale_answers_total", answer_name(&answer), 1);
         let details = |retry_after: &Millis| {
             format!("verb={} waited_ms={waited} retry_after_ms={}", waiter.verb, retry_after.0)
         };
         match &answer {
             Answer::NotDone { retry_after } => {
-                tell(&kinds::CALL_REFUSED, &waiter.about, &details(retry_after));
+                log_decision(&kinds::CALL_REFUSED, &waiter.about, &details(retry_after));
             }
             Answer::Unsure { retry_after } => {
-                tell(&kinds::CALL_UNSURE, &waiter.about, &details(retry_after));
+                log_decision(&kinds::CALL_UNSURE, &waiter.about, &details(retry_after));
             }
             _ => {}
         }
--- a/components/node/src/role_support.rs
+++ b/components/node/src/role_support.rs
@@ -6,7 +6,7 @@
 
 use clock::Millis;
 use errors::Result;
-use events::{kinds, tell};
+use events::{kinds, log_decision};
 use model::InstanceId;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use transport::{Links, LinksConfig, Packet};
@@ -47,32 +47,32 @@
     for id in peers.ids() {
         let Ok(addr) = id.as_str().parse::<SocketAddr>() else { continue };
         if let Err(e) = links.connect(id, addr) {
-            tell(&kinds::LINK_FAILED, id.as_str(), &format!("fault={:?}", e.to_string()));
+            log_decision(&kinds::LINK_FAILED, id.as_str(), &format!("fault={:?}", e.to_string()));
         }
     }
     for id in &silent {
         if let Err(e) = links.reconnect(id) {
-            tell(&kinds::LINK_FAILED, id.as_str(), &format!("fault={:?}", e.to_string()));
+            log_decision(&kinds::LINK_FAILED, id.as_str(), &format!("fault={:?}", e.to_string()));
         }
     }
 }
 
 pub(crate) fn tell_unreadable(e: &errors::Error) {
-    tell(&kinds::MESSAGE_UNREADABLE, "-", &format!("fault={:?}", e.to_string()));
+    log_decision(&kinds::MESSAGE_UNREADABLE, "-", &format!("fault={:?}", e.to_string()));
 }
 
 pub(crate) fn tell_leader(leader: &InstanceId, term: u64) {
-    tell(&kinds::LEADER_KNOWN, leader.as_str(), &format!("term={term}"));
+    log_decision(&kinds::LEADER_KNOWN, leader.as_str(), &format!("term={term}"));
 }
 
 pub(crate) fn tell_reload(settings: &NodeSettings) {
     let seeds: Vec<&str> = settings.seeds.iter().map(|s| s.as_str()).collect();
-    tell(&kinds::SETTINGS_READ, &settings.name, &format!("seeds={}", seeds.join(",")));
+    log_decision(&kinds::SETTINGS_READ, &settings.name, &format!("seeds={}", seeds.join(",")));
 }
 
 /// Tells that the process was told to stop, and has the balancer send callers elsewhere.
 pub(crate) fn begin_stop(settings: &NodeSettings, handle: &NodeHandle) {
     let grace = settings.grace.0;
-    tell(&kinds::NODE_STOPPING, &settings.name, &format!("grace_ms={grace}"));
+    log_decision(&kinds::NODE_STOPPING, &settings.name, &format!("grace_ms={grace}"));
     handle.set_stopping();
 }
--- a/components/node/src/stall_detection.rs
+++ b/components/node/src/stall_detection.rs
@@ -1,7 +1,7 @@
 //! Finding out that this process did not run for a while.
 
 use clock::Millis;
-use events::{kinds, tell};
+use events::{kinds, log_decision};
 
 use crate::timing::TICK;
 
@@ -21,7 +21,7 @@
 pub(crate) fn log_stall(name: &str, absence: &Stall) {
     let Stall { elapsed, suspended } = absence;
     let details = format!("away_ms={} suspended_ms={}", elapsed.0, suspended.0);
-    tell(&kinds::PROCESS_AWAY, name, &details);
+    log_decision(&kinds::PROCESS_AWAY, name, &details);
 }
 
 /// Looks at the clock at every tick. What a process does not know otherwise is that it was away, and its log would
--- a/components/node/src/start_control.rs
+++ b/components/node/src/start_control.rs
@@ -4,7 +4,7 @@
 
 use clock::{Clock, Millis, SystemClock};
 use errors::Result;
-use events::{kinds, tell};
+use events::{kinds, log_decision};
 use metrics::Registry;
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::time::sleep;
@@ -106,8 +106,8 @@
 fn tell_opened(settings: &NodeSettings, opened: &OpenedLog, took: Millis) {
     let (entries, snapshot_bytes) = (opened.entries, opened.snapshot_bytes);
     let details = format!("entries={entries} snapshot_bytes={snapshot_bytes} took_ms={}", took.0);
-    tell(&kinds::LOG_OPENED, &settings.name, &details);
+    log_decision(&kinds::LOG_OPENED, &settings.name, &details);
     if opened.cut > 0 {
-        tell(&kinds::TAIL_CUT, &settings.name, &format!("bytes={}", opened.cut));
+        log_decision(&kinds::TAIL_CUT, &settings.name, &format!("bytes={}", opened.cut));
     }
 }
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -7,4 +7,4 @@
 mod read;
 
 pub use flags::Flags;
-pub use read::{Instance, LogFormat, read};
+pub use read::{LogFormat, Settings, read};
--- a/components/settings/src/read.rs
+++ b/components/settings/src/read.rs
@@ -27,7 +27,7 @@
 
 /// The checked settings of an instance.
 #[derive(Clone, Debug)]
-pub struct Instance {
+pub struct Settings {
     /// This instance.
     pub own: Peer,
     /// All instances, this one too.
@@ -141,7 +141,7 @@
 ///
 /// # Errors
 /// Gives all the faults together, each with its flag or variable.
-pub fn read(flags: &Flags, variables: &BTreeMap<String, String>) -> Result<Instance, Findings> {
+pub fn read(flags: &Flags, variables: &BTreeMap<String, String>) -> Result<Settings, Findings> {
     let mut r = Reader { variables, findings: Findings::default() };
     let name = r.required("name", &flags.name);
     let peers = r.required("peers", &flags.peers);
@@ -169,7 +169,7 @@
     let (Some(own), Some(operators), Some(platform)) = (own, operators, platform) else {
         return Err(r.findings);
     };
-    let settings = Instance {
+    let settings = Settings {
         own,
         peers,
         operators,
--- a/src/bin/heathvaled.rs
+++ b/src/bin/heathvaled.rs
@@ -8,7 +8,7 @@
 use events::LogFormat;
 use gumdrop::Options;
 use log::LevelFilter;
-use settings::{Flags, Instance};
+use settings::{Flags, Settings};
 
 /// The exit code for faulty settings; nothing was started.
 const FAULTY_SETTINGS: u8 = 2;
@@ -46,7 +46,7 @@
 /// Runs a process whose settings the users' platform has written.
 fn start_on_platform(file: PathBuf) -> ExitCode {
     let started = events::start_logging_to_stdout(LevelFilter::Info);
-    events::end_on_panic();
+    events::exit_on_panic();
     match started.and_then(|()| platform::run(file)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(Error::Findings(findings)) => {
@@ -60,7 +60,7 @@
     }
 }
 
-fn start(settings: Instance) -> ExitCode {
+fn start(settings: Settings) -> ExitCode {
     let format = match settings.log_format {
         settings::LogFormat::Text => LogFormat::Text,
         settings::LogFormat::Json => LogFormat::Json,
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -251,7 +251,7 @@
     for line in &lines {
         let value: serde_json::Value = serde_json::from_str(line).unwrap();
         let number = value["number"].as_u64().unwrap();
-        let kind = events::find(number as u32).unwrap();
+        let kind = events::find_kind(number as u32).unwrap();
         assert_eq!(value["name"], kind.name);
         names.push(kind.name);
     }
