--- a/components/node/src/entry.rs
+++ b/components/node/src/entry.rs
@@ -5,7 +5,7 @@
 
 use clock::{Clock, Millis, SystemClock};
 use errors::Result;
-use events::{kinds, tell};
+use events::{kinds, log_decision};
 use metrics::Registry;
 use model::InstanceId;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
@@ -105,7 +105,11 @@
 impl EntryInstance {
     async fn run(mut self, mut rx: UnboundedReceiver<Event>) {
         let listen = self.settings.listen;
-        tell(&kinds::NODE_STARTED, &self.settings.name, &format!("role=entry listen={listen}"));
+        log_decision(
+            &kinds::NODE_STARTED,
+            &self.settings.name,
+            &format!("role=entry listen={listen}"),
+        );
         loop {
             let first = timeout(TICK_INTERVAL.duration(), rx.recv()).await;
             // All events of one iteration are handled with the same time.
@@ -124,7 +128,7 @@
             }
         }
         sleep(FINAL_ANSWERS_TIME.duration()).await;
-        tell(&kinds::NODE_STOPPED, &self.settings.name, "");
+        log_decision(&kinds::NODE_STOPPED, &self.settings.name, "");
     }
 
     fn on_event(&mut self, now: Millis, event: Event) {
@@ -213,7 +217,7 @@
             self.connected = connected;
             let term = self.peers.term();
             let kind = if connected { &kinds::LEADER_KNOWN } else { &kinds::LEADER_LOST };
-            tell(kind, &self.settings.name, &format!("term={term}"));
+            log_decision(kind, &self.settings.name, &format!("term={term}"));
         }
         self.handle.set_ready(connected);
         self.relay.set_reachability(now, reachability);
--- a/components/node/src/leadership.rs
+++ b/components/node/src/leadership.rs
@@ -5,7 +5,7 @@
 
 use clock::{Clock, Millis};
 use dispatch::{Action, Answer, Dispatcher, Input, OrganisationFigures, Setup};
-use events::{kinds, tell};
+use events::{kinds, log_decision};
 use model::{InstanceId, Name};
 
 use crate::control::ControlInstance;
@@ -33,7 +33,7 @@
     pub(crate) fn begin_term(&mut self, term: u64, replicated: workload::ReplicatedState) {
         let (jobs, workers) = (replicated.jobs().len(), replicated.workers().len());
         let details = format!("term={term} jobs={jobs} workers={workers}");
-        tell(&kinds::TERM_BEGUN, &self.settings.name, &details);
+        log_decision(&kinds::TERM_BEGUN, &self.settings.name, &details);
         let m = self.moment();
         let setup =
             Setup { limits: self.settings.limits, term, reader: self.reader.clone(), replicated };
@@ -55,7 +55,7 @@
     pub(crate) fn record_commit_latency(&mut self, now: Millis, batch: u64) {
         let Some(leader_term) = &mut self.leader_term else { return };
         while let Some(at) = leader_term.pop_committed(batch) {
-            self.metrics.note_ms("heathvale_commit_seconds", now.since(at).0);
+            self.metrics.record_ms("heathvale_commit_seconds", now.since(at).0);
         }
     }
 
@@ -112,7 +112,7 @@
             connections.limit,
             connections.opened,
         );
-        tell(&kinds::LOAD_TOLD, &self.settings.name, &details);
+        log_decision(&kinds::LOAD_TOLD, &self.settings.name, &details);
     }
 
     fn record_organisation_gauges(&self, figures: &BTreeMap<Name, OrganisationFigures>) {
@@ -218,7 +218,7 @@
             }
             Action::LogEvent { kind, subject, details } => {
                 self.metrics.add("heathvale_decisions_total", kind.name, 1);
-                tell(kind, &subject, &details);
+                log_decision(kind, &subject, &details);
             }
         }
     }
--- a/components/node/src/stall_detection.rs
+++ b/components/node/src/stall_detection.rs
@@ -1,7 +1,7 @@
 //! Detects that this process did not run for a while.
 
 use clock::Millis;
-use events::{kinds, tell};
+use events::{kinds, log_decision};
 
 use crate::timing::TICK_INTERVAL;
 
@@ -21,7 +21,7 @@
 pub(crate) fn log_stall(name: &str, stall: &Stall) {
     let Stall { elapsed, suspended } = stall;
     let details = format!("away_ms={} suspended_ms={}", elapsed.0, suspended.0);
-    tell(&kinds::PROCESS_AWAY, name, &details);
+    log_decision(&kinds::PROCESS_AWAY, name, &details);
 }
 
 /// A detector of stalls that compares the clock at every tick. Without it a process does not notice that it
