--- a/components/storage/src/folder.rs
+++ b/components/storage/src/folder.rs
@@ -1,4 +1,4 @@
-//! The data folder: the one place where an instance keeps files.
+//! The data folder, which holds all files of an instance.
 
 use std::fs::{self, File, TryLockError};
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
 const LOCK_FILE: &str = "lock";
 const INCARNATION_FILE: &str = "incarnation";
 
-/// An open data folder, locked against a second process for as long as it is held.
+/// An open data folder, locked against other processes until it is dropped.
 #[derive(Debug)]
 pub struct DataFolder {
     path: PathBuf,
@@ -20,8 +20,8 @@
 }
 
 impl DataFolder {
-    /// Opens the folder, making it if needed. A new folder draws a new incarnation number, by which
-    /// the other members see that its disk remembers nothing.
+    /// Opens the folder, creating it if needed. A new folder gets a random incarnation number, by which
+    /// the other members recognise that its disk is empty.
     ///
     /// # Errors
     /// [`Error::Refused`] if another process holds the folder, else [`Error::Io`] or
@@ -43,17 +43,18 @@
         Ok(DataFolder { path: path.into(), incarnation, _lock: lock })
     }
 
-    /// Gives the path of a file in the folder.
+    /// Returns the path of a file in the folder.
     pub fn file(&self, name: &str) -> PathBuf {
         self.path.join(name)
     }
 
-    /// Gives the number drawn when the folder was made.
+    /// Returns the incarnation number, which was drawn when the folder was created.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 }
 
+/// Returns the saved incarnation number, or draws and saves one if there is none.
 fn read_or_draw(path: &Path) -> Result<u64> {
     if let Some(bytes) = load(path)? {
         let word: [u8; 8] = bytes.as_slice().try_into().map_err(|_| Error::Damaged {
--- a/components/storage/src/lib.rs
+++ b/components/storage/src/lib.rs
@@ -1,6 +1,6 @@
-//! Files that last: framed logs, atomic snapshots, and the data folder that holds them.
+//! Durable files: framed logs, atomically replaced snapshots, and the data folder that holds them.
 //!
-//! What is torn by a crash and what is damaged later are told apart, see docs/design/storage.md.
+//! Writes torn by a crash are distinguished from later damage, see docs/design/storage.md.
 
 mod folder;
 mod frame;
--- a/components/storage/src/log.rs
+++ b/components/storage/src/log.rs
@@ -1,4 +1,4 @@
-//! A log file of frames, synced at each append.
+//! A log file of frames that is synced after each append.
 
 use std::fs::{File, OpenOptions};
 use std::io::{Read, Seek, SeekFrom, Write};
@@ -9,7 +9,7 @@
 use crate::frame::{Tail, encode_frame, scan_frames};
 use crate::snapshot::{replace_file, sync_folder};
 
-/// An open log file. Only one process may hold it, see [`crate::DataFolder`].
+/// An open log file. Only one process may have it open, which [`crate::DataFolder`] ensures.
 #[derive(Debug)]
 pub struct FrameLog {
     path: PathBuf,
@@ -17,23 +17,23 @@
     len: u64,
 }
 
-/// What opening a log found.
+/// An opened log and its content.
 #[derive(Debug)]
 pub struct OpenedLog {
     /// The log, ready for appends.
     pub log: FrameLog,
-    /// The payloads of its frames, in order.
+    /// The payloads of the frames, in order.
     pub payloads: Vec<Vec<u8>>,
-    /// How many torn bytes were cut from its end.
+    /// The number of torn bytes that were truncated from the end.
     pub truncated_bytes: u64,
 }
 
 impl FrameLog {
-    /// Opens the log at `path`, making it if needed and cutting a torn last frame.
+    /// Opens the log at `path`, creating it if needed and truncating a torn last frame.
     ///
     /// # Errors
-    /// [`Error::Damaged`] if a frame before the last no longer matches its checksum; the file is
-    /// then left as it is. [`Error::Io`] if the file cannot be used.
+    /// [`Error::Damaged`] if a frame before the last valid one is invalid; the file is then left
+    /// unchanged. [`Error::Io`] if the file cannot be read or written.
     pub fn open(path: &Path) -> Result<OpenedLog> {
         let mut options = OpenOptions::new();
         options.read(true).write(true).create(true).truncate(false);
@@ -60,10 +60,10 @@
         Ok(OpenedLog { log, payloads: found.payloads, truncated_bytes })
     }
 
-    /// Writes `payload` as one frame and returns once it is synced.
+    /// Appends `payload` as one frame and syncs it.
     ///
     /// # Errors
-    /// [`Error::Io`]; what is in the file is then unknown, so the process must stop.
+    /// [`Error::Io`]; the content of the file is then unknown, so the process must stop.
     pub fn append(&mut self, payload: &[u8]) -> Result<()> {
         let frame = encode_frame(payload);
         self.file.write_all(&frame).map_err(io("write", &self.path))?;
@@ -72,7 +72,7 @@
         Ok(())
     }
 
-    /// Puts one frame with `payload` in place of everything in the log, atomically.
+    /// Replaces the whole log atomically by one frame with `payload`.
     ///
     /// # Errors
     /// [`Error::Io`]; the process must stop, as after a failed append.
@@ -86,12 +86,12 @@
         Ok(())
     }
 
-    /// Gives the log's length in bytes.
+    /// Returns the length of the log in bytes.
     pub fn len(&self) -> u64 {
         self.len
     }
 
-    /// Tells whether the log holds no frame.
+    /// Returns whether the log has no frames.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
--- a/components/storage/tests/frames.rs
+++ b/components/storage/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Torn tails are cut, damaged middles are refused, and no bytes make a reader panic.
+//! Torn tails are truncated, damaged frames before the end are refused, and no input makes the reader panic.
 
 use std::fs;
 
@@ -6,15 +6,15 @@
 use proptest::prelude::*;
 use storage::{DataFolder, FRAME_HEADER, FrameLog, Tail, encode_frame, load, save, scan_frames};
 
-/// What is done to the bytes of a log of three frames.
+/// A fault applied to the bytes of a log of three frames.
 #[derive(Clone, Copy, Debug)]
-enum Harm {
+enum Fault {
     None,
-    /// Cut so many bytes off the end.
-    Cut(usize),
-    /// Flip a bit so many bytes from the start.
+    /// Truncates the given number of bytes.
+    Truncate(usize),
+    /// Flips a bit of the byte at the given offset.
     Flip(usize),
-    /// Add bytes behind the end.
+    /// Appends the given number of zero bytes.
     Append(usize),
 }
 
@@ -24,56 +24,56 @@
     (frames.concat(), last)
 }
 
-fn harmed(harm: Harm) -> Vec<u8> {
+fn faulty_log(fault: Fault) -> Vec<u8> {
     let (mut bytes, _) = log_bytes();
-    match harm {
-        Harm::None => {}
-        Harm::Cut(n) => bytes.truncate(bytes.len() - n),
-        Harm::Flip(at) => bytes[at] ^= 0x10,
-        Harm::Append(n) => bytes.extend(std::iter::repeat_n(0, n)),
+    match fault {
+        Fault::None => {}
+        Fault::Truncate(n) => bytes.truncate(bytes.len() - n),
+        Fault::Flip(at) => bytes[at] ^= 0x10,
+        Fault::Append(n) => bytes.extend(std::iter::repeat_n(0, n)),
     }
     bytes
 }
 
-/// What opening the log is to give: the number of whole frames, or nothing if it is refused.
+/// Tests that opening a log yields the given number of valid frames, or is refused if it is `None`.
 macro_rules! opens {
-    ($($name:ident: $harm:expr => $frames:expr;)*) => {$(
+    ($($name:ident: $fault:expr => $frames:expr;)*) => {$(
         #[test]
         fn $name() {
             let dir = tempfile::tempdir().unwrap();
             let path = dir.path().join("log");
-            fs::write(&path, harmed($harm)).unwrap();
-            let wanted: Option<usize> = $frames;
-            match (FrameLog::open(&path), wanted) {
+            fs::write(&path, faulty_log($fault)).unwrap();
+            let expected: Option<usize> = $frames;
+            match (FrameLog::open(&path), expected) {
                 (Ok(opened), Some(n)) => assert_eq!(opened.payloads.len(), n),
                 (Err(Error::Damaged { .. }), None) => {
-                    // The file is left as it is, for whoever repairs it.
-                    assert_eq!(fs::read(&path).unwrap(), harmed($harm));
+                    // The damaged file must stay unchanged so that it can be repaired.
+                    assert_eq!(fs::read(&path).unwrap(), faulty_log($fault));
                 }
-                (got, _) => panic!("wanted {wanted:?}, got {got:?}"),
+                (got, _) => panic!("expected {expected:?}, got {got:?}"),
             }
         }
     )*};
 }
 
 opens! {
-    a_whole_log_is_read: Harm::None => Some(3);
-    a_torn_payload_is_cut: Harm::Cut(1) => Some(2);
-    a_torn_header_is_cut: Harm::Cut(6 + FRAME_HEADER - 3) => Some(2);
-    a_lost_last_frame_leaves_no_trace: Harm::Cut(6 + FRAME_HEADER) => Some(2);
-    a_scrambled_last_frame_is_cut: Harm::Flip(5 + 6 + 2 * FRAME_HEADER + FRAME_HEADER) => Some(2);
-    zeros_behind_the_end_are_cut: Harm::Append(40) => Some(3);
-    a_damaged_first_payload_is_refused: Harm::Flip(FRAME_HEADER) => None;
-    a_damaged_first_length_is_refused: Harm::Flip(4) => None;
-    a_damaged_first_checksum_is_refused: Harm::Flip(8) => None;
-    a_damaged_middle_is_refused: Harm::Flip(5 + 2 * FRAME_HEADER) => None;
+    a_whole_log_is_read: Fault::None => Some(3);
+    a_torn_payload_is_cut: Fault::Truncate(1) => Some(2);
+    a_torn_header_is_cut: Fault::Truncate(6 + FRAME_HEADER - 3) => Some(2);
+    a_lost_last_frame_leaves_no_trace: Fault::Truncate(6 + FRAME_HEADER) => Some(2);
+    a_scrambled_last_frame_is_cut: Fault::Flip(5 + 6 + 2 * FRAME_HEADER + FRAME_HEADER) => Some(2);
+    zeros_behind_the_end_are_cut: Fault::Append(40) => Some(3);
+    a_damaged_first_payload_is_refused: Fault::Flip(FRAME_HEADER) => None;
+    a_damaged_first_length_is_refused: Fault::Flip(4) => None;
+    a_damaged_first_checksum_is_refused: Fault::Flip(8) => None;
+    a_damaged_middle_is_refused: Fault::Flip(5 + 2 * FRAME_HEADER) => None;
 }
 
 #[test]
 fn appends_go_on_behind_a_cut_tail() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("log");
-    fs::write(&path, harmed(Harm::Cut(2))).unwrap();
+    fs::write(&path, faulty_log(Fault::Truncate(2))).unwrap();
     let mut opened = FrameLog::open(&path).unwrap();
     assert!(opened.truncated_bytes > 0);
     opened.log.append(b"fourth").unwrap();
@@ -138,9 +138,9 @@
         let (bytes, _) = log_bytes();
         let found = scan_frames(&bytes[..bytes.len() - cut.min(bytes.len())]);
         prop_assert!(matches!(found.tail, Tail::Clean | Tail::Torn));
-        let wanted = [b"first".as_slice(), b"second", b"third!"];
-        for (payload, wanted) in found.payloads.iter().zip(wanted) {
-            prop_assert_eq!(payload.as_slice(), wanted);
+        let expected = [b"first".as_slice(), b"second", b"third!"];
+        for (payload, expected) in found.payloads.iter().zip(expected) {
+            prop_assert_eq!(payload.as_slice(), expected);
         }
     }
 
