--- a/components/consensus/src/config.rs
+++ b/components/consensus/src/config.rs
@@ -1,20 +1,20 @@
-//! What a member is told of itself and its cell when it starts.
+//! Configuration of a member.
 
 use std::collections::BTreeSet;
 
 use clock::Millis;
 use model::{Incarnation, InstanceId};
 
-/// How long things may take.
+/// Intervals and timeouts of the protocol.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// How often a leader sends heartbeats.
+    /// The interval between a leader's heartbeats.
     pub heartbeat: Millis,
-    /// The shortest silence of a leader after which a voter may stand or vote.
+    /// The minimum time without contact to a leader after which a voter may start an election or vote.
     pub election_min: Millis,
-    /// The longest silence of a leader before a voter stands.
+    /// The maximum time without contact to a leader before a voter starts an election.
     pub election_max: Millis,
-    /// By how many percent two clocks may run apart.
+    /// The maximum drift between two clocks, in percent. Leases are shortened by it.
     pub drift_percent: u64,
 }
 
@@ -29,34 +29,34 @@
     }
 }
 
-/// Who this member is and whom it knows from its settings.
+/// Identity, known instances and timing of a member.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// This member.
+    /// The id of this member.
     pub id: InstanceId,
-    /// This member's disk.
+    /// The incarnation of this member's disk.
     pub incarnation: Incarnation,
-    /// The instances with disks, which found the cell together.
+    /// The instances with disks that bootstrap the cell together.
     pub initial_voters: BTreeSet<InstanceId>,
-    /// The instances that a member without state asks for the cell, besides the founders.
+    /// Further instances that a member without state contacts to find the cell.
     pub contacts: BTreeSet<InstanceId>,
-    /// The instances without disks, which follow the log and are no members.
+    /// The instances without disks, which receive the log but are not members.
     pub observers: BTreeSet<InstanceId>,
-    /// How many voters are kept even if some of them are silent.
+    /// The number of voters to keep: learners are promoted up to it, and silent voters are not removed below it.
     pub keep_voters: usize,
-    /// After what silence a voter beyond those is removed; `None` leaves that to operators.
+    /// The time without response after which a surplus voter is removed; `None` leaves that to operators.
     pub remove_silent_after: Option<Millis>,
-    /// After what silence a voter's place goes to a caught-up learner from the reserve; `None` keeps
-    /// the voter.
+    /// The time without response after which a voter is replaced by a caught-up learner from the reserve;
+    /// `None` never replaces voters.
     pub replace_silent_after: Option<Millis>,
-    /// How long things may take.
+    /// Intervals and timeouts of the protocol.
     pub timing: Timing,
-    /// Seeds the election timeouts.
+    /// The seed of the randomized election timeouts.
     pub seed: u64,
 }
 
 impl NodeConfig {
-    /// Makes the settings of a cell whose members only operators change.
+    /// Returns the configuration of a cell whose membership only operators change.
     pub fn with_fixed_members(
         id: InstanceId,
         incarnation: Incarnation,
--- a/components/consensus/src/disk.rs
+++ b/components/consensus/src/disk.rs
@@ -1,4 +1,4 @@
-//! What a member's disk remembers, as a trait so that tests can lose, tear and slow it.
+//! Persistent storage of a member, as a trait so that tests can simulate lost, torn and slow writes.
 
 use errors::{Error, Result};
 use storage::{DataFolder, FrameLog};
@@ -8,23 +8,24 @@
 const LOG_FILE: &str = "cell.log";
 const SNAPSHOT_FILE: &str = "cell.snapshot";
 
-/// What a disk gave back at start.
+/// The persistent state that was read from a disk at start.
 #[derive(Clone, Debug, Default)]
 pub struct Restored {
-    /// The term and vote.
+    /// The current term and vote.
     pub hard: HardState,
-    /// The last snapshot; empty if there is none.
+    /// The last snapshot; the default one if none was saved.
     pub snapshot: Snapshot,
-    /// The entries behind it.
+    /// The log entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
 impl Restored {
-    fn take(&mut self, record: Record) {
+    /// Applies a record read from the log. An entry replaces all entries at its index or above.
+    fn apply_record(&mut self, record: Record) {
         match record {
             Record::HardState(hard) => self.hard = hard,
             Record::Entry(entry) if entry.index > self.snapshot.last_index => {
-                // Entries mostly come in order, so only the end has to be looked at.
+                // Entries mostly come in order, so scanning from the end is cheap.
                 while self.entries.last().is_some_and(|e| e.index >= entry.index) {
                     self.entries.pop();
                 }
@@ -34,31 +35,31 @@
         }
     }
 
-    /// Drops entries that do not follow on from the snapshot: they are the rest of a log that the
-    /// snapshot replaced just before a crash.
-    fn keep_gapless(&mut self) {
+    /// Drops entries after a gap behind the snapshot. They belong to an old log that was not replaced yet when the
+    /// process crashed after it had saved the snapshot.
+    fn truncate_at_gap(&mut self) {
         let first = self.snapshot.last_index + 1;
-        let whole = self.entries.iter().zip(first..).take_while(|(e, i)| e.index == *i).count();
-        self.entries.truncate(whole);
+        let gapless = self.entries.iter().zip(first..).take_while(|(e, i)| e.index == *i).count();
+        self.entries.truncate(gapless);
     }
 }
 
-/// Lasting storage of one member. An error means that the process must stop.
+/// Persistent storage of one member. After an error the content is unknown and the process must stop.
 pub trait Disk: Send {
-    /// Makes `records` lasting before it returns.
+    /// Appends `records` to the log and syncs them before it returns.
     ///
     /// # Errors
-    /// [`Error::Io`] if that cannot be known.
+    /// [`Error::Io`] if the write or the sync failed.
     fn append(&mut self, records: &[Record]) -> Result<()>;
 
-    /// Makes `snapshot` lasting with `tail` as the whole log behind it.
+    /// Saves `snapshot`, replaces the whole log by `tail` and syncs both before it returns.
     ///
     /// # Errors
-    /// [`Error::Io`] if that cannot be known.
+    /// [`Error::Io`] if the write or the sync failed.
     fn install(&mut self, snapshot: &Snapshot, tail: &[Record]) -> Result<()>;
 }
 
-/// A disk under a data folder.
+/// A [`Disk`] whose files are in a data folder.
 #[derive(Debug)]
 pub struct FileDisk {
     folder: DataFolder,
@@ -67,7 +68,7 @@
 }
 
 impl FileDisk {
-    /// Opens the disk and reads back what it remembers.
+    /// Opens the disk and reads the state back that was saved on it.
     ///
     /// # Errors
     /// [`Error::Damaged`] if a synced record no longer reads back, else [`Error::Io`].
@@ -80,16 +81,16 @@
         for payload in &opened.payloads {
             let records: Vec<Record> =
                 postcard::from_bytes(payload).map_err(decode("a log record"))?;
-            records.into_iter().for_each(|r| restored.take(r));
+            records.into_iter().for_each(|r| restored.apply_record(r));
         }
-        restored.keep_gapless();
+        restored.truncate_at_gap();
         Ok((
             FileDisk { folder, log: opened.log, truncated_bytes: opened.truncated_bytes },
             restored,
         ))
     }
 
-    /// Gives how many torn bytes were cut from the log's end at opening.
+    /// Returns the number of torn bytes that were truncated from the end of the log when it was opened.
     pub fn truncated_bytes(&self) -> u64 {
         self.truncated_bytes
     }
@@ -114,7 +115,7 @@
     }
 }
 
-/// The disk of an instance that has none: it forgets everything when the process ends.
+/// A [`Disk`] for instances without a disk: it stores nothing, so all state is lost when the process ends.
 #[derive(Debug, Default)]
 pub struct MemoryDisk;
 
--- a/components/consensus/src/election.rs
+++ b/components/consensus/src/election.rs
@@ -1,4 +1,4 @@
-//! Founding the cell and electing a leader.
+//! Bootstrap of the cell and leader election.
 
 use clock::Millis;
 use model::{Incarnation, InstanceId};
@@ -7,69 +7,71 @@
 use crate::progress::Progress;
 use crate::{Body, HardState, Membership, Node, Notice, Payload, Role, Snapshot};
 
-/// A last entry's term and index: the later log is the greater pair.
+/// The term and index of a log's last entry. The more up-to-date log has the greater pair.
 type LogEnd = (u64, u64);
 
 impl Node {
-    /// Looks for the cell, and founds it once all founders are seen to be empty.
-    pub(crate) fn seek_cell(&mut self) {
-        if self.now < self.hello_at {
+    /// Looks for the cell, and bootstraps it once all initial voters are known to have no state.
+    pub(crate) fn discover_cell(&mut self) {
+        if self.now < self.next_hello_at {
             return;
         }
-        self.hello_at = self.now + self.cfg.timing.heartbeat;
-        self.say_hello();
-        self.try_found();
+        self.next_hello_at = self.now + self.cfg.timing.heartbeat;
+        self.broadcast_hello();
+        self.try_bootstrap();
     }
 
-    fn say_hello(&mut self) {
-        let asked: Vec<InstanceId> =
+    fn broadcast_hello(&mut self) {
+        let targets: Vec<InstanceId> =
             self.cfg.initial_voters.union(&self.cfg.contacts).cloned().collect();
-        self.send_to_others(asked, &Body::Hello { has_state: false });
+        self.send_to_others(targets, &Body::Hello { has_state: false });
     }
 
     pub(crate) fn on_hello(&mut self, from: InstanceId, incarnation: Incarnation, has_state: bool) {
         if self.role != Role::Uninitialized {
-            if !has_state && !self.has_only_founded() {
+            if !has_state && !self.has_only_bootstrapped() {
                 self.send(&from, Body::Hello { has_state: true });
             }
             if self.role == Role::Leader {
-                self.heard_from(&from, incarnation);
+                self.record_contact(&from, incarnation);
             }
             return;
         }
         if has_state {
-            self.empty_founders.remove(&from);
+            self.empty_instances.remove(&from);
         } else {
-            self.empty_founders.insert(from, incarnation);
-            self.try_found();
+            self.empty_instances.insert(from, incarnation);
+            self.try_bootstrap();
         }
     }
 
-    /// Tells whether this member has done no more than found the cell. It is as good as empty then, and goes on to say
-    /// so: founders that have not heard enough would never found the cell, and this one alone is no quorum.
-    pub(crate) fn has_only_founded(&self) -> bool {
+    /// Returns whether this member has bootstrapped the cell and done nothing since. It then still announces itself as a
+    /// member without state: otherwise initial voters that missed its earlier messages would never bootstrap the cell,
+    /// and this member alone is no quorum.
+    pub(crate) fn has_only_bootstrapped(&self) -> bool {
         let is_new = self.hard == HardState::default() && self.log.last_index() == 0;
         is_new && self.role != Role::Uninitialized
     }
 
-    /// Tells the others now and then that this member is as good as empty.
-    pub(crate) fn greet_founders(&mut self) {
-        if self.now >= self.hello_at {
-            self.hello_at = self.now + self.cfg.timing.heartbeat;
-            self.say_hello();
+    /// Periodically announces that this member has no state beyond the bootstrap.
+    pub(crate) fn announce_bootstrap(&mut self) {
+        if self.now >= self.next_hello_at {
+            self.next_hello_at = self.now + self.cfg.timing.heartbeat;
+            self.broadcast_hello();
         }
     }
 
-    fn try_found(&mut self) {
+    fn try_bootstrap(&mut self) {
         let initial_voters = &self.cfg.initial_voters;
-        let others_empty =
-            initial_voters.iter().all(|f| *f == self.cfg.id || self.empty_founders.contains_key(f));
+        let others_empty = initial_voters
+            .iter()
+            .all(|f| *f == self.cfg.id || self.empty_instances.contains_key(f));
         if !initial_voters.contains(&self.cfg.id) || !others_empty {
             return;
         }
-        // The others may not have heard enough yet: tell them once more before we stop.
-        self.say_hello();
-        let mut voters = self.empty_founders.clone();
+        // The others may have missed earlier messages: announce once more that this member has no state.
+        self.broadcast_hello();
+        let mut voters = self.empty_instances.clone();
         voters.retain(|id, _| self.cfg.initial_voters.contains(id));
         voters.insert(self.cfg.id.clone(), self.cfg.incarnation);
         let membership = Membership { voters, ..Membership::default() };
@@ -81,11 +83,11 @@
         self.reset_election_timer();
     }
 
-    /// Tells whether a leader may hold a lease that rests on this member.
+    /// Returns whether a leader may hold a lease that depends on this member.
     pub(crate) fn is_bound_to_leader(&self) -> bool {
         match self.role {
             Role::Leader => self.now < self.election_deadline(),
-            _ => self.now.since(self.quiet_since) < self.cfg.timing.election_min,
+            _ => self.now.since(self.last_leader_contact) < self.cfg.timing.election_min,
         }
     }
 
@@ -99,7 +101,7 @@
         self.leader = None;
         self.votes.clear();
         self.votes.insert(self.cfg.id.clone());
-        self.ask_again_soon();
+        self.schedule_pre_vote_retry();
         if self.has_quorum_of_votes() {
             self.start_election(false);
             return;
@@ -109,11 +111,11 @@
         self.ask_voters(Body::PreVote { term, last_index, last_term });
     }
 
-    /// Has a pre-vote repeated soon: it disturbs nobody, and members that restarted together refuse
-    /// the first one only because they have not waited long enough yet.
-    fn ask_again_soon(&mut self) {
-        let beat = self.cfg.timing.heartbeat.0;
-        self.election_at = self.now + Millis(self.rng.random_range(beat..=2 * beat));
+    /// Schedules a retry of the pre-vote after one or two heartbeat intervals. A pre-vote disrupts nobody, and members
+    /// that restarted together refuse the first one only because their minimum election timeout has not passed.
+    fn schedule_pre_vote_retry(&mut self) {
+        let interval = self.cfg.timing.heartbeat.0;
+        self.election_at = self.now + Millis(self.rng.random_range(interval..=2 * interval));
     }
 
     fn start_election(&mut self, transfer: bool) {
@@ -140,11 +142,12 @@
 
     fn has_quorum_of_votes(&self) -> bool {
         let membership = self.membership();
-        let given = self.votes.iter().filter(|id| membership.voters.contains_key(*id)).count();
-        given >= membership.quorum()
+        let granted_count =
+            self.votes.iter().filter(|id| membership.voters.contains_key(*id)).count();
+        granted_count >= membership.quorum()
     }
 
-    /// Counts a voter's answer; tells whether it was granted and there are votes enough now.
+    /// Counts a reply to a vote request; returns whether it was granted and completes a quorum.
     fn count_vote(&mut self, from: InstanceId, incarnation: Incarnation, granted: bool) -> bool {
         if !granted || !self.is_voter(&from, incarnation) {
             return false;
@@ -153,21 +156,22 @@
         self.has_quorum_of_votes()
     }
 
-    /// Tells whether a member whose log ends so may have this member's vote, leaving aside whom this one follows.
-    fn may_elect(&self, from: &InstanceId, incarnation: Incarnation, end: LogEnd) -> bool {
-        let newer = end >= (self.log.last_term(), self.log.last_index());
-        self.may_grant() && self.knows(from, incarnation) && newer
+    /// Returns whether this member may vote for a candidate with this disk and log end, regardless of leases and of
+    /// votes granted before.
+    fn can_vote_for(&self, from: &InstanceId, incarnation: Incarnation, log_end: LogEnd) -> bool {
+        let is_up_to_date = log_end >= (self.log.last_term(), self.log.last_index());
+        self.can_grant_votes() && self.is_member(from, incarnation) && is_up_to_date
     }
 
-    /// Tells whether this member may give its vote. A learner may have become a voter by an entry that it has not
-    /// got yet; whether its vote counts is for the candidate to say, whose log is the newer one. Without its vote
-    /// a candidate that alone has that entry could never be elected.
-    fn may_grant(&self) -> bool {
-        self.knows(&self.cfg.id, self.cfg.incarnation)
+    /// Returns whether this member may grant votes. Learners may, too: a learner may have become a voter by an entry that
+    /// it has not received yet, and without its vote a candidate that alone has that entry could never be elected.
+    /// The candidate, whose log is the newer one, decides whether the vote counts.
+    fn can_grant_votes(&self) -> bool {
+        self.is_member(&self.cfg.id, self.cfg.incarnation)
     }
 
-    /// Tells whether a member is known with this disk, as a voter or as a learner.
-    fn knows(&self, id: &InstanceId, incarnation: Incarnation) -> bool {
+    /// Returns whether an instance is a voter or learner with this disk.
+    fn is_member(&self, id: &InstanceId, incarnation: Incarnation) -> bool {
         let learner = self.membership().learners.get(id);
         self.is_voter(id, incarnation) || learner.is_some_and(|l| l.incarnation == incarnation)
     }
@@ -181,16 +185,16 @@
         from: &InstanceId,
         incarnation: Incarnation,
         term: u64,
-        end: LogEnd,
+        log_end: LogEnd,
     ) {
         if term <= self.hard.term {
-            // The asker learns the higher term. Otherwise, where it has the longer log, neither of the two could
-            // ever be elected.
+            // The reply makes the sender adopt the higher term. Otherwise, if the sender has the longer log, neither
+            // of the two could ever be elected.
             let term = self.hard.term;
             self.send(from, Body::VoteReply { term, granted: false });
             return;
         }
-        let granted = !self.is_bound_to_leader() && self.may_elect(from, incarnation, end);
+        let granted = !self.is_bound_to_leader() && self.can_vote_for(from, incarnation, log_end);
         self.send(from, Body::PreVoteReply { term, granted });
     }
 
@@ -212,10 +216,12 @@
         from: &InstanceId,
         incarnation: Incarnation,
         term: u64,
-        end: LogEnd,
+        log_end: LogEnd,
     ) {
-        let free = self.hard.voted_for.as_ref().is_none_or(|id| id == from);
-        let granted = self.role == Role::Follower && free && self.may_elect(from, incarnation, end);
+        let vote_available = self.hard.voted_for.as_ref().is_none_or(|id| id == from);
+        let granted = self.role == Role::Follower
+            && vote_available
+            && self.can_vote_for(from, incarnation, log_end);
         if granted {
             self.hard.voted_for = Some(from.clone());
             self.save_hard_state();
@@ -242,6 +248,7 @@
         }
     }
 
+    /// Starts this member's leadership and appends the first entry of its term.
     fn become_leader(&mut self) {
         self.role = Role::Leader;
         self.leader = Some(self.cfg.id.clone());
@@ -252,9 +259,9 @@
         for id in self.followers() {
             self.progress.insert(id, Progress::new(next));
         }
-        self.first_own = next;
-        // The founders' membership travels in the log, so that a founder that missed the founding
-        // learns of it.
+        self.first_index_of_term = next;
+        // The initial membership is replicated in the log, so that an initial voter that missed the bootstrap
+        // receives it.
         let payload = match next {
             1 => Payload::Membership(self.membership().clone()),
             _ => Payload::Noop,
--- a/components/consensus/src/entry.rs
+++ b/components/consensus/src/entry.rs
@@ -1,4 +1,4 @@
-//! What the log holds and what the disk remembers.
+//! Log entries, the persistent term and vote, and snapshots.
 
 use std::sync::Arc;
 
@@ -7,30 +7,30 @@
 
 use crate::Membership;
 
-/// What one entry of the log carries.
+/// The content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing; a new leader commits its predecessors' entries with it.
+    /// No content; a new leader appends it to commit the entries of earlier terms.
     Noop,
-    /// A command of the state machine.
+    /// An encoded command for the state machine.
     Command(Arc<[u8]>),
-    /// The members from this entry on.
+    /// The membership that applies from this entry on.
     Membership(Membership),
 }
 
-/// One entry of the log.
+/// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its place, counted from one.
+    /// The position in the log, starting at one.
     pub index: u64,
-    /// The term of the leader that made it.
+    /// The term of the leader that created the entry.
     pub term: u64,
-    /// What it carries.
+    /// The content.
     pub payload: Payload,
 }
 
 impl Entry {
-    /// Gives roughly how many bytes the entry takes in a message.
+    /// Returns the approximate number of bytes that the entry takes in a message.
     pub fn approximate_size(&self) -> usize {
         match &self.payload {
             Payload::Command(data) => 24 + data.len(),
@@ -40,32 +40,32 @@
     }
 }
 
-/// What a member must never forget: the term it knows and the vote it gave in it.
+/// The term and vote that a member must persist: without them it could vote twice in one term after a restart.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// The highest term seen.
     pub term: u64,
-    /// Who got this member's vote in that term.
+    /// The candidate that received this member's vote in that term.
     pub voted_for: Option<InstanceId>,
 }
 
-/// One record of the disk's log.
+/// A record of the log on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// Replaces the remembered term and vote.
+    /// Replaces the persisted term and vote.
     HardState(HardState),
-    /// Adds an entry; every entry at its index or above is dropped first.
+    /// Adds an entry, replacing all entries at its index or above.
     Entry(Entry),
 }
 
-/// The state machine's whole state after some entry.
+/// The complete state of the state machine after an entry, with the membership at that entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last entry it holds.
+    /// The index of the last entry included.
     pub last_index: u64,
-    /// That entry's term.
+    /// The term of that entry.
     pub last_term: u64,
-    /// The members as of that entry.
+    /// The membership as of that entry.
     pub membership: Membership,
     /// The encoded state.
     pub data: Arc<[u8]>,
--- a/components/consensus/src/lib.rs
+++ b/components/consensus/src/lib.rs
@@ -1,8 +1,8 @@
-//! The replicated log that the cell state is agreed on by.
+//! A replicated log in the manner of Raft, through which the cell agrees on its state.
 //!
-//! [`Node`] is pure: `(state, now, input) -> Output`. [`Replica`] adds the disk and keeps the one
-//! rule of order: records are synced before any message or commitment that rests on them leaves.
-//! docs/design/consensus.md says what was weighed.
+//! [`Node`] is a pure state machine: `(state, now, input) -> Output`. [`Replica`] adds the disk and
+//! enforces the order of effects: records are synced before any message or commit that depends on
+//! them leaves. docs/design/consensus.md discusses the design.
 
 mod config;
 mod disk;
--- a/components/consensus/src/membership.rs
+++ b/components/consensus/src/membership.rs
@@ -1,53 +1,53 @@
-//! Who votes, who learns, and by which disk.
+//! Voters and learners, each identified by its instance and disk.
 
 use std::collections::BTreeMap;
 
 use model::{Incarnation, InstanceId};
 use serde::{Deserialize, Serialize};
 
-/// A member that copies the log and does not vote.
+/// A member that receives the log and does not vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Learner {
-    /// The disk it copies to.
+    /// The incarnation of its disk.
     pub incarnation: Incarnation,
-    /// Whether it becomes a voter as soon as it has caught up.
+    /// Whether it is promoted to voter once it has caught up.
     pub promote: bool,
 }
 
-/// The role an operator can give a member.
+/// A role that an operator can assign to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberRole {
-    /// Votes, after it has caught up.
+    /// Receives the log, and votes once it has caught up.
     Voter,
-    /// Copies the log only.
+    /// Receives the log only.
     Learner,
-    /// No member.
+    /// Is not a member.
     Removed,
 }
 
-/// The members. A voter counts only with the disk it was admitted with, so that a replaced disk
-/// never votes from emptiness.
+/// The voters and learners of the cell. A voter counts only with the disk that it was admitted with: a replaced
+/// disk has lost the log and the votes that were granted on it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// Those who vote, with the disk each was admitted with.
+    /// The voters, with the incarnation of the disk that each was admitted with.
     pub voters: BTreeMap<InstanceId, Incarnation>,
-    /// Those who learn.
+    /// The learners.
     pub learners: BTreeMap<InstanceId, Learner>,
 }
 
 impl Membership {
-    /// Gives how many voters make a quorum.
+    /// Returns the number of voters that form a quorum.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Tells whether `id` votes with this disk.
+    /// Returns whether `id` is a voter with this disk.
     pub fn is_voter(&self, id: &InstanceId, incarnation: Incarnation) -> bool {
         self.voters.get(id) == Some(&incarnation)
     }
 
-    /// Gives the members with `id`'s replaced disk admitted as a learner, or `None` if the
-    /// membership knows that disk already or does not know the instance.
+    /// Returns the membership with the replaced disk of `id` admitted as a learner, or `None` if the
+    /// instance is not a member or is one with that disk already.
     pub fn with_replaced_disk(&self, id: &InstanceId, incarnation: Incarnation) -> Option<Self> {
         let voted = self.voters.get(id).is_some_and(|old| *old != incarnation);
         let learned = self.learners.get(id).filter(|l| l.incarnation != incarnation);
@@ -61,7 +61,7 @@
         Some(next)
     }
 
-    /// Gives the members with learner `id` made a voter, or `None` if it does not wait for that.
+    /// Returns the membership with learner `id` promoted to voter, or `None` if it is not marked for promotion.
     pub fn with_promoted(&self, id: &InstanceId) -> Option<Self> {
         let learner = self.learners.get(id).filter(|l| l.promote)?;
         let mut next = self.clone();
@@ -70,7 +70,7 @@
         Some(next)
     }
 
-    /// Gives the members with `id` in `role`. A future voter starts as a learner.
+    /// Returns the membership with `id` in `role`. A new voter starts as a learner that is marked for promotion.
     pub fn with_role(&self, id: &InstanceId, incarnation: Incarnation, role: MemberRole) -> Self {
         let mut next = self.clone();
         match role {
--- a/components/consensus/src/message.rs
+++ b/components/consensus/src/message.rs
@@ -1,4 +1,4 @@
-//! What members say to each other. Messages may be lost, delayed, repeated and reordered.
+//! Messages between members. They may be lost, delayed, duplicated and reordered.
 
 use std::sync::Arc;
 
@@ -11,115 +11,115 @@
 /// A message with its sender and receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Who sent it.
+    /// The sender.
     pub from: InstanceId,
-    /// Which disk the sender has.
+    /// The incarnation of the sender's disk.
     pub incarnation: Incarnation,
-    /// Who it is for.
+    /// The receiver.
     pub to: InstanceId,
-    /// What it says.
+    /// The content.
     pub body: Body,
 }
 
-/// What a message says.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// A member without any state looks for the cell, or to found it.
+    /// Announces a member without state that looks for the cell or wants to bootstrap it; also the reply to that.
     Hello {
-        /// Whether the sender has state already.
+        /// Whether the sender has state, so that the receiver must not bootstrap a cell.
         has_state: bool,
     },
-    /// Asks whether a vote would be given, without disturbing anyone.
+    /// Asks whether the receiver would grant its vote, without changing any term.
     PreVote {
-        /// The term that would be stood for.
+        /// The term of the election that would follow.
         term: u64,
-        /// The asker's last entry.
+        /// The index of the sender's last entry.
         last_index: u64,
-        /// That entry's term.
+        /// The term of that entry.
         last_term: u64,
     },
-    /// Answers [`Body::PreVote`].
+    /// Replies to [`Body::PreVote`].
     PreVoteReply {
-        /// The term asked about.
+        /// The term of the request.
         term: u64,
-        /// Whether the vote would be given.
+        /// Whether the vote would be granted.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     Vote {
-        /// The term stood for.
+        /// The term of the election.
         term: u64,
-        /// The candidate's last entry.
+        /// The index of the candidate's last entry.
         last_index: u64,
-        /// That entry's term.
+        /// The term of that entry.
         last_term: u64,
-        /// Whether the leader asked the candidate to stand, having given up its own lease.
+        /// Whether the leader transferred leadership to the candidate, after it gave up its own lease.
         transfer: bool,
     },
-    /// Answers [`Body::Vote`].
+    /// Replies to [`Body::Vote`].
     VoteReply {
         /// The voter's term.
         term: u64,
-        /// Whether the vote is given.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// Adds entries, or none as a heartbeat.
+    /// Appends entries; without entries it is a heartbeat.
     Append {
         /// The leader's term.
         term: u64,
-        /// The entry before the first one sent.
+        /// The index of the entry before the first one sent.
         prev_index: u64,
-        /// That entry's term.
+        /// The term of that entry.
         prev_term: u64,
         /// The entries, without gaps.
         entries: Vec<Entry>,
-        /// How far the leader has committed.
+        /// The leader's commit index.
         commit: u64,
-        /// The leader's clock, for its lease; echoed in the reply.
+        /// The leader's time of sending, echoed in the reply; the leader's lease is computed from it.
         sent_at: Millis,
     },
-    /// Answers [`Body::Append`].
+    /// Replies to [`Body::Append`].
     AppendReply {
         /// The follower's term.
         term: u64,
-        /// Whether the entries follow on from the follower's log.
+        /// Whether the follower's log contains the entry before the first one sent.
         matched: bool,
-        /// The last entry known to match, or if none did, where to try next.
+        /// The last index known to match, or, if the log did not match, the index to try next.
         index: u64,
-        /// Echoed from the append.
+        /// The time of sending, echoed from the append.
         sent_at: Millis,
     },
-    /// A piece of a snapshot, for a follower whose next entry is gone from the leader's log.
+    /// A chunk of a snapshot, for a follower whose next entry is no longer in the leader's log.
     SnapshotChunk {
         /// The leader's term.
         term: u64,
-        /// The last entry in the snapshot.
+        /// The index of the last entry in the snapshot.
         last_index: u64,
-        /// That entry's term.
+        /// The term of that entry.
         last_term: u64,
-        /// The members as of that entry.
+        /// The membership as of that entry.
         membership: Membership,
-        /// Where the piece starts.
+        /// The offset of the chunk in the snapshot, in bytes.
         offset: u64,
-        /// How long the whole is.
+        /// The length of the whole snapshot, in bytes.
         total: u64,
-        /// The piece.
+        /// The bytes of the chunk.
         data: Arc<[u8]>,
-        /// The leader's clock, as in an append.
+        /// The leader's time of sending, as in an append.
         sent_at: Millis,
     },
-    /// Answers [`Body::SnapshotChunk`] until the last piece, which an append reply answers.
+    /// Replies to every [`Body::SnapshotChunk`] but the last, which is acknowledged by an [`Body::AppendReply`].
     SnapshotReply {
         /// The follower's term.
         term: u64,
-        /// The snapshot meant.
+        /// The index of the last entry in the snapshot.
         last_index: u64,
-        /// Where the next piece starts.
+        /// The offset of the next chunk, in bytes.
         next_offset: u64,
-        /// Echoed from the chunk.
+        /// The time of sending, echoed from the chunk.
         sent_at: Millis,
     },
-    /// The leader hands over: the receiver is to stand at once.
+    /// Transfers leadership: the receiver starts an election immediately.
     TimeoutNow {
         /// The leader's term.
         term: u64,
@@ -127,7 +127,7 @@
 }
 
 impl Body {
-    /// Gives the sender's term, if the message tells one that binds the receiver.
+    /// Returns the sender's term, or `None` if the message does not carry one that the receiver must adopt.
     pub fn term(&self) -> Option<u64> {
         match self {
             Body::Hello { .. } | Body::PreVote { .. } | Body::PreVoteReply { .. } => None,
--- a/components/consensus/src/message_handling.rs
+++ b/components/consensus/src/message_handling.rs
@@ -1,4 +1,4 @@
-//! Taking in messages: first by term, then by kind.
+//! Handling of received messages: first by term, then by kind.
 
 use std::sync::Arc;
 
@@ -7,14 +7,14 @@
 use crate::{Body, Envelope, Node, Snapshot};
 
 impl Node {
-    /// Hands a message to the part of the member that it is for.
-    pub(crate) fn dispatch(&mut self, msg: Envelope) {
+    /// Checks the term of a message and passes it to its handler.
+    pub(crate) fn handle_message(&mut self, msg: Envelope) {
         let Envelope { from, incarnation, body, .. } = msg;
         if let Body::Vote { transfer, .. } = body
             && !transfer
             && self.is_bound_to_leader()
         {
-            // Neither the vote nor its higher term may disturb a leader that is heard.
+            // Neither the request nor its higher term may disrupt a leader that this member is in contact with.
             return;
         }
         if let Some(term) = body.term()
@@ -50,8 +50,8 @@
                 sent_at,
                 ..
             } => {
-                let head = Snapshot { last_index, last_term, membership, data: Arc::new([]) };
-                self.on_chunk(&from, head, offset, total, &data, sent_at);
+                let header = Snapshot { last_index, last_term, membership, data: Arc::new([]) };
+                self.on_chunk(&from, header, offset, total, &data, sent_at);
             }
             Body::SnapshotReply { last_index, next_offset, sent_at, .. } => {
                 self.on_snapshot_reply(&from, incarnation, last_index, next_offset, sent_at);
@@ -60,11 +60,11 @@
         }
     }
 
-    /// Compares the sender's term with ours. Gives false if the message is from a past term and
-    /// has been answered or dropped.
+    /// Compares the sender's term with the current one and adopts a newer term. Returns false if the message is from
+    /// an earlier term and has been answered or dropped.
     fn accept_term(&mut self, from: &InstanceId, term: u64, body: &Body) -> bool {
         if term > self.hard.term {
-            // A member that cannot vote yet must not forget that it was never asked.
+            // Only an append or a chunk proves that the sender leads the new term.
             let leads = matches!(body, Body::Append { .. } | Body::SnapshotChunk { .. });
             self.become_follower(term, leads.then(|| from.clone()));
             return true;
@@ -72,15 +72,15 @@
         if term == self.hard.term {
             return true;
         }
-        let ours = self.hard.term;
+        let newer = self.hard.term;
         match body {
-            // The old leader learns of the new term from the answer.
+            // A deposed leader learns of the new term from the reply.
             Body::Append { sent_at, .. } | Body::SnapshotChunk { sent_at, .. } => {
                 let sent_at = *sent_at;
-                let reply = Body::AppendReply { term: ours, matched: false, index: 0, sent_at };
+                let reply = Body::AppendReply { term: newer, matched: false, index: 0, sent_at };
                 self.send(from, reply);
             }
-            Body::Vote { .. } => self.send(from, Body::VoteReply { term: ours, granted: false }),
+            Body::Vote { .. } => self.send(from, Body::VoteReply { term: newer, granted: false }),
             _ => {}
         }
         false
--- a/components/consensus/src/node.rs
+++ b/components/consensus/src/node.rs
@@ -1,4 +1,4 @@
-//! The member itself: its state, its inputs and what follows from them.
+//! The state machine of a member: its state, its inputs and the output that follows from them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,29 +10,30 @@
 
 use crate::incoming_snapshot::IncomingSnapshot;
 use crate::log::Log;
-use crate::membership_maintenance::Replacing;
+use crate::membership_maintenance::VoterReplacement;
 use crate::progress::Progress;
 use crate::{
     Body, ChangeError, Entry, Envelope, HardState, MemberRole, Membership, NodeConfig, NotLeader,
     Notice, Output, Payload, Record, Restored, Snapshot,
 };
 
-/// What a member is at the moment.
+/// The current role of a member in the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Has no state yet, and looks for the cell.
+    /// Has no state yet and looks for the cell.
     Uninitialized,
     /// Follows a leader or waits for one.
     Follower,
-    /// Asks whether it would be elected.
+    /// Asks the voters whether they would elect it.
     PreCandidate,
-    /// Stands for election.
+    /// Requests votes in an election.
     Candidate,
-    /// Leads.
+    /// Leads the current term.
     Leader,
 }
 
-/// The most entries a leader keeps uncommitted before it refuses proposals.
+/// The maximum number of uncommitted entries before a leader refuses proposals. Without a limit, a leader without a
+/// quorum would run out of memory; a smaller one refuses commands during bursts.
 pub(crate) const MAX_UNCOMMITTED: u64 = 20_000;
 
 /// One member of the replicated log.
@@ -44,56 +45,58 @@
     pub(crate) hard: HardState,
     pub(crate) log: Log,
     pub(crate) commit: u64,
-    /// The last entry that is on this member's disk; `None` if it is not told of syncs and takes its whole log for
-    /// lasting.
+    /// The index of the last entry on this member's disk; `None` if syncs are not tracked and the whole log counts as
+    /// synced.
     synced: Option<u64>,
-    /// Whether the log has entries of this leader's that it has not begun to copy.
-    copies_due: bool,
+    /// Whether this leader has appended entries that it has not sent to any follower yet.
+    replication_due: bool,
     pub(crate) leader: Option<InstanceId>,
-    /// When a leader was last heard, or this process started: either may have promised a lease.
-    pub(crate) quiet_since: Millis,
+    /// The time of the last contact with a leader or, if later, of the start or resignation of this member. A lease may
+    /// have been granted up to then.
+    pub(crate) last_leader_contact: Millis,
     pub(crate) election_at: Millis,
     pub(crate) votes: BTreeSet<InstanceId>,
     pub(crate) progress: BTreeMap<InstanceId, Progress>,
-    /// When this member became leader.
+    /// The time at which this member became leader.
     pub(crate) leads_since: Millis,
-    /// The first entry of this leader's own term.
-    pub(crate) first_own: u64,
-    /// The replacement of a silent voter that is under way, while this member leads.
-    pub(crate) replacing: Option<Replacing>,
+    /// The index of the first entry of this leader's term.
+    pub(crate) first_index_of_term: u64,
+    /// The replacement of a silent voter that this leader has in progress.
+    pub(crate) replacement: Option<VoterReplacement>,
     pub(crate) incoming: Option<IncomingSnapshot>,
-    /// Founders known to be as empty as this one.
-    pub(crate) empty_founders: BTreeMap<InstanceId, Incarnation>,
-    pub(crate) hello_at: Millis,
+    /// Instances that have reported to have no state, with the incarnation of their disks.
+    pub(crate) empty_instances: BTreeMap<InstanceId, Incarnation>,
+    /// The time at which the next hello is due.
+    pub(crate) next_hello_at: Millis,
     pub(crate) now: Millis,
     pub(crate) out: Output,
 }
 
 impl Node {
-    /// Starts a member from what its disk remembers. It will not vote for a while, because the
-    /// process before it may have granted a leader's lease.
+    /// Creates a member from the state on its disk. It does not vote for the minimum election timeout, because the
+    /// previous process may have acknowledged a leader whose lease still holds.
     pub fn new(cfg: NodeConfig, restored: Restored, now: Millis) -> Node {
         let log = Log::new(restored.snapshot, restored.entries);
-        let has_state = log.last_index() > 0 || !log.base().membership.voters.is_empty();
+        let has_state = log.last_index() > 0 || !log.last_snapshot().membership.voters.is_empty();
         let mut node = Node {
             rng: StdRng::seed_from_u64(cfg.seed),
             role: if has_state { Role::Follower } else { Role::Uninitialized },
             hard: restored.hard,
-            commit: log.base().last_index,
+            commit: log.last_snapshot().last_index,
             synced: None,
-            copies_due: false,
+            replication_due: false,
             log,
             leader: None,
-            quiet_since: now,
+            last_leader_contact: now,
             election_at: Millis::ZERO,
             votes: BTreeSet::new(),
             progress: BTreeMap::new(),
             leads_since: Millis::ZERO,
-            first_own: 0,
-            replacing: None,
+            first_index_of_term: 0,
+            replacement: None,
             incoming: None,
-            empty_founders: BTreeMap::new(),
-            hello_at: Millis::ZERO,
+            empty_instances: BTreeMap::new(),
+            next_hello_at: Millis::ZERO,
             now,
             out: Output::default(),
             cfg,
@@ -102,13 +105,13 @@
         node
     }
 
-    /// Has the member count itself among those who hold an entry only once it is told that the entry is on its disk.
-    /// What its disk gave back is.
+    /// Makes the member count its own copy of an entry towards the quorum only after [`Node::mark_synced`]. The entries
+    /// restored from its disk count as synced.
     pub fn track_syncs(&mut self) {
         self.synced = Some(self.log.last_index());
     }
 
-    /// Notes that everything in the log is on this member's disk.
+    /// Records that the whole log is on this member's disk.
     pub fn mark_synced(&mut self) -> Output {
         self.synced = self.synced.map(|_| self.log.last_index());
         if self.role == Role::Leader {
@@ -117,57 +120,57 @@
         std::mem::take(&mut self.out)
     }
 
-    /// Copies the entries that were added since this was last called. Entries of one sync go out together: a copy is
-    /// followed by the next one only when it is answered.
+    /// Sends the entries that were appended since the last call. Entries of one sync are batched, because a follower is
+    /// sent the next append only after it has answered the previous one.
     pub fn replicate_new_entries(&mut self) -> Output {
-        if std::mem::take(&mut self.copies_due) && self.role == Role::Leader {
-            self.copy_to_all();
+        if std::mem::take(&mut self.replication_due) && self.role == Role::Leader {
+            self.replicate_to_all();
         }
         std::mem::take(&mut self.out)
     }
 
-    /// Gives the last entry that is on this member's disk.
+    /// Returns the index of the last entry on this member's disk.
     pub fn synced(&self) -> u64 {
         self.synced.unwrap_or(self.log.last_index())
     }
 
-    /// Takes an entry into the log and has it made lasting. What was on the disk in its place and behind it no longer
-    /// counts.
+    /// Appends an entry to the log and to the records to sync. Entries on disk at its index or above no longer count
+    /// as synced.
     pub(crate) fn push_entry(&mut self, entry: Entry) {
         self.synced = self.synced.map(|at| at.min(entry.index - 1));
         self.out.records.push(Record::Entry(entry.clone()));
         self.log.push(entry);
     }
 
-    /// Lets time pass.
+    /// Advances the time and performs the actions that are due.
     pub fn tick(&mut self, now: Millis) -> Output {
         self.now = self.now.max(now);
-        if self.has_only_founded() {
-            self.greet_founders();
+        if self.has_only_bootstrapped() {
+            self.announce_bootstrap();
         }
         match self.role {
-            Role::Uninitialized => self.seek_cell(),
-            Role::Leader => self.lead(),
+            Role::Uninitialized => self.discover_cell(),
+            Role::Leader => self.tick_leader(),
             _ if self.now >= self.election_at && self.may_vote() => self.start_pre_vote(),
             _ => {}
         }
         std::mem::take(&mut self.out)
     }
 
-    /// Takes in a message.
+    /// Processes a message.
     pub fn receive(&mut self, now: Millis, msg: Envelope) -> Output {
         self.now = self.now.max(now);
         if msg.to == self.cfg.id {
-            self.dispatch(msg);
+            self.handle_message(msg);
         }
         std::mem::take(&mut self.out)
     }
 
-    /// Adds a command to the log and gives its index and term.
+    /// Appends a command to the log and returns its index and term.
     ///
     /// # Errors
-    /// [`NotLeader`] if this member does not lead, has not proved that it does, or holds as many
-    /// uncommitted entries as it may. The command is then surely not in the log.
+    /// [`NotLeader`] if this member is not the leader or the maximum number of uncommitted entries is reached.
+    /// The command is then certainly not in the log.
     pub fn propose(
         &mut self,
         now: Millis,
@@ -185,7 +188,7 @@
     /// Changes one member's role.
     ///
     /// # Errors
-    /// [`ChangeError`] says why the change was not taken up; it then surely did not happen.
+    /// [`ChangeError`] if the change was not accepted; it then certainly did not happen.
     pub fn change_member(
         &mut self,
         now: Millis,
@@ -207,110 +210,112 @@
         if next.voters.is_empty() {
             return Err(ChangeError::NoVoter);
         }
-        if !self.may_change_members() {
+        if !self.can_change_membership() {
             return Err(ChangeError::Busy);
         }
-        self.change_membership(next);
+        self.append_membership(next);
         Ok(std::mem::take(&mut self.out))
     }
 
-    /// Hands leadership to the voter that is furthest along, for a planned stop. This member gives
-    /// up its lease before the other one stands.
+    /// Transfers leadership to the voter with the most replicated log, for a planned stop. This member gives up its
+    /// lease before the other one starts its election.
     pub fn transfer_leadership(&mut self, now: Millis) -> Output {
         self.now = self.now.max(now);
         if self.role == Role::Leader {
-            let heir = self.furthest_voter();
+            let successor = self.most_advanced_voter();
             let term = self.hard.term;
             self.resign("planned stop");
-            if let Some(heir) = heir {
-                self.send(&heir, Body::TimeoutNow { term });
+            if let Some(successor) = successor {
+                self.send(&successor, Body::TimeoutNow { term });
             }
         }
         std::mem::take(&mut self.out)
     }
 
-    /// Replaces the log up to `index` by a snapshot of the state after it.
+    /// Replaces the log up to `index` by a snapshot of the state after it, and returns the snapshot. Returns `None` if
+    /// `index` is not committed or is part of the last snapshot already.
     pub fn compact(&mut self, index: u64, data: Arc<[u8]>) -> Option<Snapshot> {
-        if index > self.commit || index <= self.log.base().last_index {
+        if index > self.commit || index <= self.log.last_snapshot().last_index {
             return None;
         }
         self.log.compact(index, data).cloned()
     }
 
-    /// Gives the last snapshot.
-    pub fn base(&self) -> &Snapshot {
-        self.log.base()
+    /// Returns the last snapshot.
+    pub fn last_snapshot(&self) -> &Snapshot {
+        self.log.last_snapshot()
     }
 
-    /// Gives what the disk must hold besides the snapshot.
+    /// Returns the records that the disk must hold besides the snapshot.
     pub fn tail_records(&self) -> Vec<Record> {
         let mut records = vec![Record::HardState(self.hard.clone())];
-        let first = self.log.base().last_index + 1;
+        let first = self.log.last_snapshot().last_index + 1;
         records.extend(self.log.entries_from(first, usize::MAX).into_iter().map(Record::Entry));
         records
     }
 
-    /// Gives this member's role.
+    /// Returns the role of this member.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Gives the leader that this member knows.
+    /// Returns the leader of the current term, if known.
     pub fn leader(&self) -> Option<&InstanceId> {
         self.leader.as_ref()
     }
 
-    /// Gives the highest term this member knows.
+    /// Returns the highest term that this member has seen.
     pub fn term(&self) -> u64 {
         self.hard.term
     }
 
-    /// Gives the last entry known to be committed.
+    /// Returns the index of the last entry known to be committed.
     pub fn commit(&self) -> u64 {
         self.commit
     }
 
-    /// Gives the last entry in the log, committed or not.
+    /// Returns the index of the last entry in the log, committed or not.
     pub fn last_index(&self) -> u64 {
         self.log.last_index()
     }
 
-    /// Gives how many entries lie behind the last snapshot.
+    /// Returns the number of entries after the last snapshot.
     pub fn log_len(&self) -> usize {
         self.log.len()
     }
 
-    /// Gives the newest members, committed or not.
+    /// Returns the latest membership, committed or not.
     pub fn membership(&self) -> &Membership {
         self.log.membership().1
     }
 
-    /// Gives when this member became leader, by its own clock.
+    /// Returns the time at which this member became leader, by its own clock.
     pub fn leads_since(&self) -> Millis {
         self.leads_since
     }
 
-    /// Tells whether this member surely is the only leader at `now` and has committed an entry of
-    /// its own, so that its state holds every accepted change.
+    /// Returns whether this member is certainly the only leader at `now` and has committed an entry of its own term,
+    /// so that its state contains every accepted change.
     pub fn holds_lease(&self, now: Millis) -> bool {
         now < self.lease_until(now)
     }
 
-    /// Gives until when this member surely is the only leader that has committed an entry of its
-    /// own; zero if it is not. Unlike [`Node::holds_lease`] it can be handed to other threads.
+    /// Returns the time until which this member is certainly the only leader and has committed an entry of its own
+    /// term; zero if it is not. Unlike the result of [`Node::holds_lease`], it stays valid on other threads.
     pub fn lease_until(&self, now: Millis) -> Millis {
         let Some(acked) = self.quorum_acked_at(now) else { return Millis::ZERO };
         let lease = self.cfg.timing.election_min.0 * (100 - self.cfg.timing.drift_percent) / 100;
         let until = acked + Millis(lease);
-        let leads = self.role == Role::Leader && self.commit >= self.first_own;
+        let leads = self.role == Role::Leader && self.commit >= self.first_index_of_term;
         if leads && now < until { until } else { Millis::ZERO }
     }
 
-    /// Learns of instances that may know the cell.
+    /// Adds instances that a member without state contacts to find the cell.
     pub fn add_contacts(&mut self, ids: impl IntoIterator<Item = InstanceId>) {
         self.cfg.contacts.extend(ids);
     }
 
+    /// Returns whether this member is a voter with its current disk.
     pub(crate) fn may_vote(&self) -> bool {
         self.log.membership().1.is_voter(&self.cfg.id, self.cfg.incarnation)
     }
@@ -337,19 +342,20 @@
         self.election_at = self.now + Millis(self.rng.random_range(min..=max.max(min)));
     }
 
-    /// Takes entry `payload` into the leader's own log and starts copying it.
+    /// Appends `payload` to the leader's own log, starts replicating it and returns its index.
     pub(crate) fn append_own(&mut self, payload: Payload) -> u64 {
         let index = self.log.last_index() + 1;
         self.push_entry(Entry { index, term: self.hard.term, payload });
         self.advance_commit();
         match self.synced {
-            // Whoever tells of syncs has what was taken in together copied together, see [`Node::replicate_new_entries`].
-            Some(_) => self.copies_due = true,
-            None => self.copy_to_all(),
+            // Entries that are synced together are also sent together, see [`Node::replicate_new_entries`].
+            Some(_) => self.replication_due = true,
+            None => self.replicate_to_all(),
         }
         index
     }
 
+    /// Advances the commit index to `index`, at most to the end of the log, and outputs the committed entries.
     pub(crate) fn commit_to(&mut self, index: u64) {
         let target = index.min(self.log.last_index());
         while self.commit < target {
@@ -360,6 +366,8 @@
         }
     }
 
+    /// Adopts `term` if it is newer, and follows `leader` or waits for one. A leader resigns; a member without state
+    /// stays [`Role::Uninitialized`].
     pub(crate) fn become_follower(&mut self, term: u64, leader: Option<InstanceId>) {
         if self.role == Role::Leader {
             self.resign("a newer term");
@@ -376,24 +384,25 @@
         self.reset_election_timer();
     }
 
+    /// Ends this member's leadership. It waits for the minimum election timeout before it votes.
     pub(crate) fn resign(&mut self, reason: &'static str) {
         self.out.notices.push(Notice::Resigned { term: self.hard.term, reason });
         self.role = Role::Follower;
         self.leader = None;
         self.progress.clear();
-        self.replacing = None;
-        self.quiet_since = self.now;
+        self.replacement = None;
+        self.last_leader_contact = self.now;
         self.reset_election_timer();
     }
 
-    /// Notes that `leader` is the leader of the current term.
+    /// Records contact with `leader`, the leader of the current term.
     pub(crate) fn follow(&mut self, leader: &InstanceId) {
         if matches!(self.role, Role::PreCandidate | Role::Candidate) {
             self.role = Role::Follower;
             self.votes.clear();
         }
         self.leader = Some(leader.clone());
-        self.quiet_since = self.now;
+        self.last_leader_contact = self.now;
         self.reset_election_timer();
     }
 }
--- a/components/consensus/src/progress.rs
+++ b/components/consensus/src/progress.rs
@@ -1,29 +1,29 @@
-//! What a leader knows of one follower.
+//! The replication progress of a follower, as known to the leader.
 
 use clock::Millis;
 use model::Incarnation;
 
-/// How far one follower has come, as its replies tell.
+/// The replication progress of one follower, according to its replies.
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
-    /// The follower's disk, from its last reply.
+    /// The incarnation of the follower's disk, from its last reply.
     pub(crate) incarnation: Option<Incarnation>,
-    /// The last entry known to be on the follower's disk.
+    /// The index of the last entry known to be on the follower's disk.
     pub(crate) matched: u64,
-    /// The next entry to send.
+    /// The index of the next entry to send.
     pub(crate) next: u64,
-    /// When the append or chunk now under way was sent; `None` if none is.
+    /// The time at which the unanswered append or chunk was sent; `None` if none is in flight.
     pub(crate) pending_since: Option<Millis>,
-    /// The last entry sent since the append under way began; zero for a chunk.
+    /// The index of the last entry in flight; zero for a chunk.
     pub(crate) pending_last: u64,
-    /// The newest of the leader's send times that the follower has answered in this term.
+    /// The latest of the leader's send times that the follower has acknowledged in this term.
     pub(crate) acked_at: Option<Millis>,
-    /// When the last message of any kind came.
-    pub(crate) heard_at: Option<Millis>,
-    /// The snapshot under way: its last index and the next byte to send.
+    /// The time at which the last message of any kind was received.
+    pub(crate) last_contact: Option<Millis>,
+    /// The snapshot in transfer: the index of its last entry and the offset of the next byte to send.
     pub(crate) snapshot: Option<(u64, u64)>,
-    /// When the last heartbeat went out.
-    pub(crate) beat_at: Option<Millis>,
+    /// The time at which the last heartbeat, or an append in its place, was sent.
+    pub(crate) heartbeat_sent_at: Option<Millis>,
 }
 
 impl Progress {
@@ -35,17 +35,17 @@
             pending_since: None,
             pending_last: 0,
             acked_at: None,
-            heard_at: None,
+            last_contact: None,
             snapshot: None,
-            beat_at: None,
+            heartbeat_sent_at: None,
         }
     }
 
-    /// Takes in whether an answer to what was sent at a time answers the append under way. The answer to an older
-    /// heartbeat says nothing of what was sent since. Taken for an answer to that, it had all of it sent again 20 times
-    /// a second, and a leader with two empty followers ran out of its 384 MB within 16 s. One to a heartbeat of the same
-    /// moment does not reach as far.
-    pub(crate) fn note_answer(&mut self, sent_at: Millis, matched: bool, index: u64) {
+    /// Clears the append in flight if the reply to a message sent at `sent_at` answers it. A reply to an older heartbeat
+    /// does not: when it was taken for an answer, all entries in flight were resent 20 times a second, and a leader with
+    /// two empty followers exceeded its 384 MB within 16 s. A reply to a heartbeat sent in the same millisecond is
+    /// recognised by its lower index.
+    pub(crate) fn record_reply(&mut self, sent_at: Millis, matched: bool, index: u64) {
         let Some(since) = self.pending_since else { return };
         let reaches = !matched || index >= self.pending_last;
         if sent_at > since || (sent_at == since && reaches) {
@@ -53,9 +53,9 @@
         }
     }
 
-    /// Notes a reply from the follower's disk; what another disk acknowledged is forgotten.
-    pub(crate) fn heard(&mut self, now: Millis, incarnation: Incarnation) {
-        self.heard_at = Some(now);
+    /// Records contact with the follower. If its disk was replaced, all progress of the old disk is discarded.
+    pub(crate) fn record_contact(&mut self, now: Millis, incarnation: Incarnation) {
+        self.last_contact = Some(now);
         if self.incarnation != Some(incarnation) {
             if self.incarnation.is_some() {
                 self.matched = 0;
--- a/components/consensus/src/replication.rs
+++ b/components/consensus/src/replication.rs
@@ -1,4 +1,4 @@
-//! The leader's work: copying the log and committing.
+//! Log replication by the leader, the followers' side of it, and commits.
 
 use std::collections::BTreeSet;
 
@@ -8,14 +8,15 @@
 use crate::progress::Progress;
 use crate::{Body, Entry, Node, Notice, Payload, Role};
 
-/// The most bytes of entries in one append: as many as in a piece of a snapshot. A follower that is short of
-/// its processor takes longer for more than until it is sent again.
-const MAX_APPEND: usize = 256 << 10;
-/// How many heartbeats a lost append may take before it is sent again.
+/// The maximum bytes of entries in one append, the same as in a snapshot chunk. A follower that is short of processor
+/// time takes longer to process a larger one than the interval after which it is resent.
+const MAX_APPEND_BYTES: usize = 256 << 10;
+/// The number of heartbeat intervals after which an unanswered append is resent. With fewer, slow followers receive
+/// the same entries repeatedly; with more, a lost append delays commits.
 const RESEND_HEARTBEATS: u64 = 3;
 
 impl Node {
-    /// Everyone the leader copies the log to.
+    /// Returns all instances that the leader replicates the log to: the other members and the observers.
     pub(crate) fn followers(&self) -> BTreeSet<InstanceId> {
         let membership = self.membership();
         let members = membership.voters.keys().chain(membership.learners.keys());
@@ -25,27 +26,29 @@
         all
     }
 
-    /// A leader's tick: heartbeats, resends, check-quorum and the care of its members.
-    pub(crate) fn lead(&mut self) {
+    /// Performs the periodic actions of a leader: quorum check, heartbeats, resends and membership maintenance.
+    pub(crate) fn tick_leader(&mut self) {
         let acked = self.quorum_acked_at(self.now).unwrap_or(self.leads_since);
         if self.now.since(acked) > self.cfg.timing.election_max {
             self.resign("no quorum answers");
             return;
         }
-        if !self.membership().voters.contains_key(&self.cfg.id) && self.commit >= self.members_at()
+        if !self.membership().voters.contains_key(&self.cfg.id)
+            && self.commit >= self.membership_index()
         {
             self.resign("no longer a voter");
             return;
         }
-        self.copy_to_all();
+        self.replicate_to_all();
         self.maintain_membership();
     }
 
-    pub(crate) fn members_at(&self) -> u64 {
+    /// Returns the index of the latest membership entry.
+    pub(crate) fn membership_index(&self) -> u64 {
         self.log.membership().0
     }
 
-    /// Gives the newest time at which a quorum is known to have followed this leader.
+    /// Returns the latest time at which a quorum is known to have followed this leader.
     pub(crate) fn quorum_acked_at(&self, now: Millis) -> Option<Millis> {
         let membership = self.membership();
         let mut times: Vec<Millis> = Vec::new();
@@ -62,33 +65,33 @@
         times.get(membership.quorum() - 1).copied()
     }
 
-    pub(crate) fn copy_to_all(&mut self) {
+    pub(crate) fn replicate_to_all(&mut self) {
         for id in self.followers() {
-            self.copy_to(&id);
+            self.replicate_to(&id);
         }
     }
 
-    /// Sends `id` what it lacks, unless an earlier send is still under way, or a heartbeat if due.
-    fn copy_to(&mut self, id: &InstanceId) {
+    /// Sends `id` the entries that it lacks, unless an earlier append is in flight, or a heartbeat if one is due.
+    fn replicate_to(&mut self, id: &InstanceId) {
         let heartbeat = self.cfg.timing.heartbeat;
-        let fresh = Progress::new(self.log.last_index() + 1);
+        let initial = Progress::new(self.log.last_index() + 1);
         let (now, last) = (self.now, self.log.last_index());
-        let p = self.progress.entry(id.clone()).or_insert(fresh);
-        let due = p.beat_at.is_none_or(|t| now.since(t) >= heartbeat);
+        let p = self.progress.entry(id.clone()).or_insert(initial);
+        let due = p.heartbeat_sent_at.is_none_or(|t| now.since(t) >= heartbeat);
         let overdue = Millis(heartbeat.0 * RESEND_HEARTBEATS);
         let busy = p.pending_since.is_some_and(|t| now.since(t) < overdue);
         let lacks = p.next <= last || p.snapshot.is_some();
         let lacks_more = p.pending_last > 0 && p.pending_last < last && p.snapshot.is_none();
         if lacks && !busy {
             p.pending_since = Some(now);
-            p.beat_at = Some(now);
+            p.heartbeat_sent_at = Some(now);
             self.send_next(id);
             return;
         }
         if due {
-            p.beat_at = Some(now);
+            p.heartbeat_sent_at = Some(now);
         }
-        // Whoever syncs for long has the newest entries at hand for its next sync.
+        // A follower with a slow sync then has the newest entries available for its next one.
         let sent_more = lacks_more && self.send_more(id);
         if due && !sent_more {
             self.send_heartbeat(id);
@@ -103,18 +106,18 @@
             return;
         }
         let prev = p.next - 1;
-        let entries = self.log.entries_from(p.next, MAX_APPEND);
+        let entries = self.log.entries_from(p.next, MAX_APPEND_BYTES);
         p.pending_last = entries.last().map_or(0, |e| e.index);
         self.send_append(id, prev, entries);
     }
 
-    /// Sends what has come since the append under way, if one more brings a follower up to date: one that is far behind gets
-    /// one append at a time. Tells whether it did.
+    /// Sends the entries after the append in flight, if one more append brings the follower up to date; a follower that
+    /// is far behind gets one append at a time. Returns whether it was sent.
     fn send_more(&mut self, id: &InstanceId) -> bool {
         let last = self.log.last_index();
         let Some(p) = self.progress.get_mut(id) else { return false };
         let prev = p.pending_last;
-        let entries = self.log.entries_from(prev + 1, MAX_APPEND);
+        let entries = self.log.entries_from(prev + 1, MAX_APPEND_BYTES);
         if entries.last().is_none_or(|e| e.index < last) {
             return false;
         }
@@ -125,7 +128,7 @@
 
     fn send_heartbeat(&mut self, id: &InstanceId) {
         let Some(p) = self.progress.get(id) else { return };
-        // A heartbeat rests on an entry that the leader still has.
+        // The previous entry of a heartbeat must be one that the leader still has.
         let prev = (p.next - 1).max(self.log.start());
         self.send_append(id, prev, Vec::new());
     }
@@ -160,7 +163,7 @@
         }
         let last = prev_index + entries.len() as u64;
         for entry in entries {
-            self.take_entry(entry);
+            self.append_received(entry);
         }
         if self.role == Role::Uninitialized && self.log.last_index() > 0 {
             self.role = Role::Follower;
@@ -169,13 +172,15 @@
         self.send(from, Body::AppendReply { term, matched: true, index: last, sent_at });
     }
 
-    /// An entry at or below the commit matches by definition, wherever the log begins.
+    /// Returns whether the log contains the given entry. Entries before the snapshot are committed and always match.
     fn extends_log(&self, prev_index: u64, prev_term: u64) -> bool {
-        prev_index < self.log.base().last_index || self.log.term_at(prev_index) == Some(prev_term)
+        prev_index < self.log.last_snapshot().last_index
+            || self.log.term_at(prev_index) == Some(prev_term)
     }
 
-    fn take_entry(&mut self, entry: Entry) {
-        let known = entry.index <= self.log.base().last_index
+    /// Appends an entry received from the leader, unless the log contains it already.
+    fn append_received(&mut self, entry: Entry) {
+        let known = entry.index <= self.log.last_snapshot().last_index
             || self.log.term_at(entry.index) == Some(entry.term);
         if known {
             return;
@@ -187,27 +192,27 @@
         self.push_entry(entry);
     }
 
-    /// Notes a sign of life from a follower; gives false if this member does not follow us.
-    pub(crate) fn heard_from(&mut self, from: &InstanceId, incarnation: Incarnation) -> bool {
+    /// Records contact with a follower. Returns false if the instance does not follow this leader.
+    pub(crate) fn record_contact(&mut self, from: &InstanceId, incarnation: Incarnation) -> bool {
         let now = self.now;
         match self.progress.get_mut(from) {
             Some(p) => {
-                p.heard(now, incarnation);
+                p.record_contact(now, incarnation);
                 true
             }
             None => false,
         }
     }
 
-    /// Notes that a follower has answered what was sent at a time, and gives what is known of it; nothing if this
-    /// member does not lead it.
-    pub(crate) fn acked_by(
+    /// Records that a follower has acknowledged a message sent at `sent_at`, and returns its progress. Returns `None` if
+    /// this member is not the leader or the instance does not follow it.
+    pub(crate) fn record_ack(
         &mut self,
         from: &InstanceId,
         incarnation: Incarnation,
         sent_at: Millis,
     ) -> Option<&mut Progress> {
-        if self.role != Role::Leader || !self.heard_from(from, incarnation) {
+        if self.role != Role::Leader || !self.record_contact(from, incarnation) {
             return None;
         }
         let p = self.progress.get_mut(from)?;
@@ -224,8 +229,8 @@
         sent_at: Millis,
     ) {
         let last = self.log.last_index();
-        let Some(p) = self.acked_by(from, incarnation, sent_at) else { return };
-        p.note_answer(sent_at, matched, index);
+        let Some(p) = self.record_ack(from, incarnation, sent_at) else { return };
+        p.record_reply(sent_at, matched, index);
         if matched && index <= last {
             p.matched = p.matched.max(index);
             p.next = p.next.max(p.matched + 1);
@@ -233,19 +238,20 @@
                 p.snapshot = None;
             }
         } else if index < p.next {
-            // A late refusal must not send the leader back behind what is known to match.
+            // A delayed refusal must not move the next index back before the last known match.
             p.next = (index + 1).max(p.matched + 1);
         }
         let is_answered = p.pending_since.is_none();
         self.advance_commit();
-        // One that is overdue is sent again by the next tick: after a slow sync of our own its answer may be the next
-        // one to be taken in.
+        // An overdue append is resent only by the next tick: after a slow sync of this leader, its reply may be the next
+        // message to be processed.
         if is_answered {
-            self.copy_to(from);
+            self.replicate_to(from);
         }
     }
 
-    /// Commits what a quorum of voters has on disk, by an entry of the leader's own term.
+    /// Commits the entries that a quorum of voters has on disk, up to an entry of the current term. Entries of earlier
+    /// terms are committed only together with one of the current term, since a later leader could still replace them.
     pub(crate) fn advance_commit(&mut self) {
         let membership = self.membership();
         let mut matched: Vec<u64> = Vec::new();
@@ -264,12 +270,14 @@
         }
     }
 
-    pub(crate) fn furthest_voter(&self) -> Option<InstanceId> {
+    /// Returns the other voter whose log is known to match the furthest.
+    pub(crate) fn most_advanced_voter(&self) -> Option<InstanceId> {
         let voters = &self.membership().voters;
         let mut best: Option<(u64, &InstanceId)> = None;
         for (id, p) in &self.progress {
-            let counts = p.incarnation.is_some() && voters.get(id) == p.incarnation.as_ref();
-            if counts && best.is_none_or(|(matched, _)| p.matched > matched) {
+            let is_current_voter =
+                p.incarnation.is_some() && voters.get(id) == p.incarnation.as_ref();
+            if is_current_voter && best.is_none_or(|(matched, _)| p.matched > matched) {
                 best = Some((p.matched, id));
             }
         }
--- a/components/consensus/src/snapshot.rs
+++ b/components/consensus/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Sending and taking in snapshots, piece by piece.
+//! Transfer of snapshots in chunks.
 
 use clock::Millis;
 use model::{Incarnation, InstanceId};
@@ -6,30 +6,32 @@
 use crate::incoming_snapshot::IncomingSnapshot;
 use crate::{Body, Node, Role, Snapshot};
 
-/// The bytes of one piece.
-const CHUNK: usize = 256 << 10;
-/// The largest snapshot that is taken in.
-const MAX_SNAPSHOT: u64 = 256 << 20;
+/// The size of a chunk in bytes. Larger ones take slow followers longer to process than the interval after which they
+/// are resent.
+const CHUNK_BYTES: usize = 256 << 10;
+/// The maximum size of a snapshot that is accepted, in bytes. Without a limit, a faulty message could exhaust the memory.
+const MAX_SNAPSHOT_BYTES: u64 = 256 << 20;
 
 impl Node {
+    /// Sends the next chunk of the last snapshot.
     pub(crate) fn send_chunk(&mut self, id: &InstanceId) {
-        let base = self.log.base().clone();
+        let last_snapshot = self.log.last_snapshot().clone();
         let Some(p) = self.progress.get_mut(id) else { return };
         let offset = match p.snapshot {
-            Some((index, offset)) if index == base.last_index => offset,
+            Some((index, offset)) if index == last_snapshot.last_index => offset,
             _ => 0,
         };
-        p.snapshot = Some((base.last_index, offset));
-        let start = (offset as usize).min(base.data.len());
-        let end = (start + CHUNK).min(base.data.len());
+        p.snapshot = Some((last_snapshot.last_index, offset));
+        let start = (offset as usize).min(last_snapshot.data.len());
+        let end = (start + CHUNK_BYTES).min(last_snapshot.data.len());
         let body = Body::SnapshotChunk {
             term: self.hard.term,
-            last_index: base.last_index,
-            last_term: base.last_term,
-            membership: base.membership.clone(),
+            last_index: last_snapshot.last_index,
+            last_term: last_snapshot.last_term,
+            membership: last_snapshot.membership.clone(),
             offset: start as u64,
-            total: base.data.len() as u64,
-            data: base.data[start..end].into(),
+            total: last_snapshot.data.len() as u64,
+            data: last_snapshot.data[start..end].into(),
             sent_at: self.now,
         };
         self.send(id, body);
@@ -38,27 +40,27 @@
     pub(crate) fn on_chunk(
         &mut self,
         from: &InstanceId,
-        head: Snapshot,
+        header: Snapshot,
         offset: u64,
         total: u64,
         data: &[u8],
         sent_at: Millis,
     ) {
-        if self.role == Role::Leader || total > MAX_SNAPSHOT {
+        if self.role == Role::Leader || total > MAX_SNAPSHOT_BYTES {
             return;
         }
         self.follow(from);
-        let (term, last_index) = (self.hard.term, head.last_index);
+        let (term, last_index) = (self.hard.term, header.last_index);
         if last_index <= self.commit {
-            // We have all of it: the leader can go on with entries.
+            // Everything in the snapshot is committed here: the leader can continue with entries.
             let index = self.commit;
             self.incoming = None;
             self.send(from, Body::AppendReply { term, matched: true, index, sent_at });
             return;
         }
-        let have = self.take_chunk(head, offset, total, data);
-        if have < total {
-            let reply = Body::SnapshotReply { term, last_index, next_offset: have, sent_at };
+        let received = self.take_chunk(header, offset, total, data);
+        if received < total {
+            let reply = Body::SnapshotReply { term, last_index, next_offset: received, sent_at };
             self.send(from, reply);
             return;
         }
@@ -66,14 +68,15 @@
         self.send(from, Body::AppendReply { term, matched: true, index: last_index, sent_at });
     }
 
-    /// Adds a piece if it is the next one, and gives how many bytes there are.
-    fn take_chunk(&mut self, head: Snapshot, offset: u64, total: u64, data: &[u8]) -> u64 {
-        if !self.incoming.as_ref().is_some_and(|i| i.is_of(&head, total)) {
-            self.incoming = Some(IncomingSnapshot::new(head, total));
+    /// Adds a chunk if it is the next one, and returns the number of bytes received.
+    fn take_chunk(&mut self, header: Snapshot, offset: u64, total: u64, data: &[u8]) -> u64 {
+        if !self.incoming.as_ref().is_some_and(|i| i.matches_header(&header, total)) {
+            self.incoming = Some(IncomingSnapshot::new(header, total));
         }
-        self.incoming.as_mut().map_or(0, |incoming| incoming.take(offset, data))
+        self.incoming.as_mut().map_or(0, |incoming| incoming.append_chunk(offset, data))
     }
 
+    /// Replaces the log by the completely received snapshot.
     fn install_incoming(&mut self) {
         let Some(incoming) = self.incoming.take() else { return };
         let snapshot = incoming.into_snapshot();
@@ -94,7 +97,7 @@
         sent_at: Millis,
     ) {
         let now = self.now;
-        let Some(p) = self.acked_by(from, incarnation, sent_at) else { return };
+        let Some(p) = self.record_ack(from, incarnation, sent_at) else { return };
         if p.snapshot.is_some_and(|(index, _)| index == last_index) {
             p.snapshot = Some((last_index, next_offset));
             p.pending_since = Some(now);
