--- a/components/transport/src/lib.rs
+++ b/components/transport/src/lib.rs
@@ -1,6 +1,6 @@
 //! Messages between instances, over `nng`.
 //!
-//! Messages may be lost; nothing is resent here, because every part above repeats what matters.
+//! Messages may be lost. Nothing is resent here; the components that use the links repeat what they need answered.
 
 mod links;
 mod packet;
--- a/components/transport/src/links.rs
+++ b/components/transport/src/links.rs
@@ -1,4 +1,4 @@
-//! The sockets to and from the other instances.
+//! Links to the other instances: a sending socket for each, and one receiving socket.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -18,29 +18,34 @@
 
 use crate::packet::{MAX_PACKET, Packet, decode, encode};
 
-/// How many messages to one instance may wait before further ones are dropped.
+/// The maximum number of queued messages to one instance; further ones are dropped. With a smaller value messages of
+/// a burst are lost; a greater one takes more memory while an instance is slow.
 const SEND_BUFFER: i32 = 1024;
-/// How many messages may wait to be taken in.
+/// The maximum number of received messages that wait to be processed; beyond it messages are dropped. With a smaller
+/// value messages of a burst are lost; a greater one takes more memory.
 const RECV_BUFFER: i32 = 4096;
+/// The shortest delay before a broken connection is dialled again, and before receiving is retried after an error.
 const RECONNECT_MIN: Duration = Duration::from_millis(20);
+/// The longest delay before a broken connection is dialled again. A greater one delays the contact to an instance that
+/// has restarted.
 const RECONNECT_MAX: Duration = Duration::from_millis(200);
 
-/// Who we are and whom we talk to.
+/// The configuration of [`Links`].
 #[derive(Clone, Debug)]
 pub struct LinksConfig {
-    /// This instance.
+    /// The id of this instance.
     pub id: InstanceId,
-    /// Where it listens.
+    /// The address it listens on.
     pub listen: SocketAddr,
-    /// The other instances.
+    /// The addresses of the other instances.
     pub peers: BTreeMap<InstanceId, SocketAddr>,
 }
 
-/// What is called with each message, or with why one could not be read. It runs on the receiving
-/// thread and must not wait.
+/// A callback for each received message, or for the error if it could not be decoded. It runs on the
+/// receiving thread and must not block.
 pub type OnMessage<M> = Box<dyn Fn(Result<Packet<M>>) + Send>;
 
-/// A link to one instance.
+/// The sending end of a link to one instance.
 struct Peer {
     addr: SocketAddr,
     socket: Socket,
@@ -54,11 +59,11 @@
 }
 
 impl Links {
-    /// Opens the sockets and starts receiving. Instances that are not there yet are dialled until
-    /// they are.
+    /// Opens the sockets and starts receiving. Instances that cannot be reached are dialled until
+    /// they can.
     ///
     /// # Errors
-    /// [`Error::Unreachable`] if the address to listen on cannot be had.
+    /// [`Error::Unreachable`] if a socket cannot be opened, for example because the address to listen on is in use.
     pub fn open<M>(cfg: &LinksConfig, on_message: OnMessage<M>) -> Result<Links>
     where
         M: DeserializeOwned + 'static,
@@ -66,12 +71,12 @@
         let refused = Arc::new(Mutex::new(BTreeSet::new()));
         let mut peers = BTreeMap::new();
         for (id, addr) in &cfg.peers {
-            let socket = dial(*addr).map_err(fault(addr))?;
+            let socket = dial(*addr).map_err(to_error(addr))?;
             peers.insert(id.clone(), Peer { addr: *addr, socket });
         }
-        let inbox = listen(cfg.listen).map_err(fault(&cfg.listen))?;
+        let receiver = listen(cfg.listen).map_err(to_error(&cfg.listen))?;
         let refused_in = refused.clone();
-        let receive = move || receive_all(&inbox, &refused_in, &on_message);
+        let receive = move || receive_all(&receiver, &refused_in, &on_message);
         thread::Builder::new()
             .name("links".into())
             .spawn(receive)
@@ -88,63 +93,65 @@
         let Some(peer) = peers.get(to) else { return };
         let packet = Packet { from: self.id.clone(), order, message };
         if let Ok(bytes) = encode(&packet) {
-            // An instance that is slow or not there loses it; whoever needs an answer asks again.
+            // The message is dropped if the instance is slow or not connected; senders that need an answer retry.
             let _ = peer.socket.try_send(bytes.as_slice());
         }
     }
 
-    /// Opens a link to an instance that was not known at the start. Does nothing if there is one.
+    /// Opens a link to an instance, or to its new address. Does nothing if there is one to that address.
     ///
     /// # Errors
-    /// [`Error::Unreachable`] if no socket can be had.
+    /// [`Error::Unreachable`] if no socket can be opened.
     pub fn connect(&self, id: &InstanceId, addr: SocketAddr) -> Result<()> {
         let mut peers = lock(&self.peers);
         if peers.get(id).is_some_and(|p| p.addr == addr) {
             return Ok(());
         }
-        let socket = dial(addr).map_err(fault(&addr))?;
+        let socket = dial(addr).map_err(to_error(&addr))?;
         peers.insert(id.clone(), Peer { addr, socket });
         Ok(())
     }
 
-    /// Closes the link to an instance and opens it anew. A connection whose other end was cut off
-    /// or lost power would otherwise wait for the kernel's resends, which take ever longer.
+    /// Closes the link to an instance and opens a new one. A connection whose other end was disconnected
+    /// or lost power would otherwise wait for the kernel's retransmissions, whose intervals keep growing.
     ///
     /// # Errors
-    /// [`Error::Unreachable`] if no socket can be had.
+    /// [`Error::Unreachable`] if no socket can be opened.
     pub fn reconnect(&self, id: &InstanceId) -> Result<()> {
         let mut peers = lock(&self.peers);
         let Some(peer) = peers.get_mut(id) else { return Ok(()) };
-        let socket = dial(peer.addr).map_err(fault(&peer.addr))?;
+        let socket = dial(peer.addr).map_err(to_error(&peer.addr))?;
         peer.socket = socket;
         Ok(())
     }
 
-    /// Closes the link to an instance that is gone for good.
+    /// Closes the link to an instance that has left permanently.
     pub fn disconnect(&self, id: &InstanceId) {
         lock(&self.peers).remove(id);
     }
 
-    /// Refuses all messages to and from `peers` from now on, for tests of cut links.
+    /// Drops all messages to and from `peers` from now on, and only these, for tests of network partitions.
     pub fn set_refused_peers(&self, peers: BTreeSet<InstanceId>) {
         *lock(&self.refused) = peers;
     }
 }
 
+/// Locks a mutex, even if a thread panicked while it held the lock.
 fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-fn fault(addr: &SocketAddr) -> impl FnOnce(nng::Error) -> Error {
+/// Returns a conversion of socket errors to errors about `addr`.
+fn to_error(addr: &SocketAddr) -> impl FnOnce(nng::Error) -> Error {
     let target = addr.to_string();
     move |e| Error::Unreachable { target, reason: e.to_string() }
 }
 
 /// Opens the sending end of a link, which publishes to the one instance that it dials.
 ///
-/// It is no `Push0` socket: those send over freed memory after a connection broke with a message on its way, which
-/// ended the process. What is sent while there is no connection is dropped, so no stale messages follow once there
-/// is one. docs/incidents/instances-ended-as-links-broke.md.
+/// It is not a `Push0` socket: those use freed memory after a connection broke with a message in flight, which crashed
+/// the process. Messages sent without a connection are dropped, so no stale messages follow once there is one. See
+/// docs/incidents/instances-ended-as-links-broke.md.
 fn dial(addr: SocketAddr) -> nng::Result<Socket> {
     let socket = Socket::new(Protocol::Pub0)?;
     socket.set_opt::<SendBufferSize>(SEND_BUFFER)?;
@@ -154,7 +161,7 @@
     Ok(socket)
 }
 
-/// Opens the receiving end of all links to this instance, which takes whatever they publish.
+/// Opens the receiving end of all links to this instance, which subscribes to everything that they publish.
 fn listen(addr: SocketAddr) -> nng::Result<Socket> {
     let socket = Socket::new(Protocol::Sub0)?;
     let everything = Vec::new();
@@ -165,13 +172,14 @@
     Ok(socket)
 }
 
+/// Passes each received message to `on_message` until the socket is closed, except those from refused instances.
 fn receive_all<M: DeserializeOwned>(
-    inbox: &Socket,
+    receiver: &Socket,
     refused: &Mutex<BTreeSet<InstanceId>>,
     on_message: &OnMessage<M>,
 ) {
     loop {
-        match inbox.recv() {
+        match receiver.recv() {
             Ok(bytes) => {
                 let packet = decode::<M>(&bytes);
                 let dropped = packet.as_ref().is_ok_and(|p| lock(refused).contains(&p.from));
--- a/components/transport/src/packet.rs
+++ b/components/transport/src/packet.rs
@@ -4,43 +4,44 @@
 use model::InstanceId;
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
-/// The largest message that is read, in bytes.
+/// The maximum size of a received message, in bytes. With a smaller one, large messages are lost; with a greater one, a
+/// faulty sender can make an instance run out of memory.
 pub(crate) const MAX_PACKET: usize = 16 << 20;
 
-/// A message with its sender and its place in the order of events.
+/// A message with its sender and the sender's logical clock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packet<M> {
-    /// Who sent it.
+    /// The sender.
     pub from: InstanceId,
-    /// The sender's logical clock.
+    /// The sender's logical clock, by which events on different instances are ordered.
     pub order: u64,
-    /// What it says.
+    /// The content.
     pub message: M,
 }
 
-/// Writes a packet as bytes.
+/// Encodes a packet.
 ///
 /// # Errors
-/// [`Error::Decode`] if it cannot be written.
+/// [`Error::Decode`] if the packet cannot be encoded.
 pub fn encode<M: Serialize>(packet: &Packet<M>) -> Result<Vec<u8>> {
-    postcard::to_allocvec(packet).map_err(fault)
+    postcard::to_allocvec(packet).map_err(to_error)
 }
 
-/// Reads a packet from bytes that may come from anyone.
+/// Decodes a packet from untrusted bytes.
 ///
 /// # Errors
-/// [`Error::Decode`] if the bytes are no packet, are too many, or are followed by others.
+/// [`Error::Decode`] if the bytes are not a packet, are too many, or continue after the packet.
 pub fn decode<M: DeserializeOwned>(bytes: &[u8]) -> Result<Packet<M>> {
     if bytes.len() > MAX_PACKET {
         return Err(Error::Decode { what: "a message", reason: "it is too large".into() });
     }
-    let (packet, rest) = postcard::take_from_bytes(bytes).map_err(fault)?;
+    let (packet, rest) = postcard::take_from_bytes(bytes).map_err(to_error)?;
     if !rest.is_empty() {
         return Err(Error::Decode { what: "a message", reason: "bytes follow it".into() });
     }
     Ok(packet)
 }
 
-fn fault(e: postcard::Error) -> Error {
+fn to_error(e: postcard::Error) -> Error {
     Error::Decode { what: "a message", reason: e.to_string() }
 }
--- a/components/transport/tests/packets.rs
+++ b/components/transport/tests/packets.rs
@@ -1,4 +1,4 @@
-//! Packets read back as they were, and no bytes make the reader panic or take much memory.
+//! Packets decode to what was encoded, and no input makes the decoder panic or use much memory.
 
 use model::InstanceId;
 use proptest::prelude::*;
@@ -32,7 +32,7 @@
 
 #[test]
 fn a_length_that_claims_the_world_takes_no_memory() {
-    // A sequence that claims 2^60 entries and has none.
+    // A sequence with a declared length of 2^60 entries and none present.
     let mut bytes = vec![1, b'a', 1];
     bytes.extend([0x80, 0x80, 0x80, 0x80, 0x80, 0x80, 0x80, 0x80, 0x10]);
     assert!(decode::<Vec<u64>>(&bytes).is_err());
