--- a/components/upstream/src/client.rs
+++ b/components/upstream/src/client.rs
@@ -1,4 +1,4 @@
-//! Calling a worker over HTTP.
+//! The HTTP client for worker calls.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -11,10 +11,10 @@
 
 use crate::{MAX_BODY_BYTES, SyncReply, SyncRequest};
 
-/// What heathvale needs of a worker besides answering requests: one call that renews its lease,
-/// starts, checkpoints and stops tasks, and reports.
+/// The interface of a worker apart from answering requests: a single call that renews the worker's lease, starts,
+/// checkpoints and stops tasks, and returns a report.
 pub trait Worker {
-    /// Makes the call, waiting at most `timeout`.
+    /// Makes the call, and waits at most `timeout` for the reply.
     fn sync<'a>(
         &'a self,
         req: &'a SyncRequest,
@@ -22,14 +22,14 @@
     ) -> Pin<Box<dyn Future<Output = Result<SyncReply>> + 'a>>;
 }
 
-/// A worker that is reached over HTTP.
+/// A worker reached over HTTP.
 pub struct HttpWorker {
     client: Client,
     addr: SocketAddr,
 }
 
 impl HttpWorker {
-    /// Makes a worker at `addr`.
+    /// Creates a client for the worker at `addr`.
     pub fn new(client: Client, addr: SocketAddr) -> HttpWorker {
         HttpWorker { client, addr }
     }
--- a/components/upstream/src/lib.rs
+++ b/components/upstream/src/lib.rs
@@ -1,8 +1,7 @@
-//! The worker's side of the system: what heathvale asks of a worker, and what it answers.
+//! The protocol between heathvale and a worker.
 //!
-//! The worker belongs to the platform. [`Worker`] is the whole of its interface; [`HttpWorker`]
-//! speaks it over HTTP. docs/design/leases.md says why a lease cannot be stretched by a late
-//! message.
+//! Workers belong to the platform. [`Worker`] is their whole interface, and [`HttpWorker`] implements it over HTTP.
+//! docs/design/leases.md explains why a late message cannot extend a lease.
 
 mod client;
 pub mod headers;
--- a/components/upstream/src/platform.rs
+++ b/components/upstream/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of workers. It lags behind what is so.
+//! The platform's list of workers, which lags behind their actual state.
 
 use std::net::SocketAddr;
 
@@ -10,47 +10,47 @@
 
 use crate::MAX_BODY_BYTES;
 
-/// How long the platform may take to give its list.
+/// The timeout for fetching the platform's list.
 const LIST_TIMEOUT: Wait = Wait(2_000);
 
-/// What the platform says of a worker.
+/// The state of a worker according to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum WorkerState {
-    /// It is there.
+    /// The worker is in service.
     Live,
-    /// It is about to go.
+    /// The worker is about to leave.
     Leaving,
 }
 
-/// One worker as the platform lists it.
+/// A worker in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedWorker {
-    /// Its name.
+    /// The worker's name.
     pub name: Name,
-    /// Its availability zone.
+    /// The availability zone that it is in.
     pub zone: ZoneId,
-    /// Its rack.
+    /// The rack that it is in.
     pub rack: Name,
-    /// Where it listens.
+    /// The address that it listens on.
     pub addr: SocketAddr,
-    /// What it has.
+    /// The worker's total capacity.
     pub size: Size,
-    /// What the platform thinks of it.
+    /// The worker's state.
     pub state: WorkerState,
 }
 
-/// The platform's whole list.
+/// The platform's list of all workers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformList {
-    /// The workers.
+    /// All listed workers, of every zone.
     pub workers: Vec<ListedWorker>,
 }
 
-/// Asks the platform for its list.
+/// Fetches the platform's list of workers.
 ///
 /// # Errors
-/// [`Error::Unreachable`] if it does not answer, [`Error::Decode`] if the answer is no list.
+/// Returns [`Error::Unreachable`] if the platform does not answer, and [`Error::Decode`] if the response is not a list.
 pub async fn fetch_worker_list(client: &Client, addr: SocketAddr) -> Result<PlatformList> {
     let url = format!("http://{addr}/instances");
     let unreachable = |e: String| Error::Unreachable { target: url.clone(), reason: e };
--- a/components/upstream/src/protocol.rs
+++ b/components/upstream/src/protocol.rs
@@ -1,41 +1,40 @@
-//! The messages between a zone's allocator and a worker.
+//! The messages that a zone's allocator and a worker exchange.
 
 use clock::Millis;
 use model::{Epoch, Name, Size, TaskId};
 use serde::{Deserialize, Serialize};
 
-/// The largest body that either side reads.
+/// The maximum size in bytes of a body that either side reads.
 pub const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// What the allocator tells a worker in one call: it renews the lease and carries whatever is to
-/// start or stop. A worker takes in calls of one epoch in the order of `seq` and refuses an older
-/// one, so that a call that was given up on cannot act later.
+/// A call from the allocator to a worker. It renews the lease and lists the tasks to start, stop and forget. A worker
+/// processes the calls of an epoch in the order of `seq` and refuses older ones, so that a call that has timed out cannot
+/// take effect later.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SyncRequest {
-    /// The allocator's epoch. A worker refuses a lower one than it has seen.
+    /// The allocator's epoch. A worker refuses epochs lower than the highest that it has seen.
     pub epoch: Epoch,
-    /// The call's number within the epoch.
+    /// The sequence number of the call within the epoch.
     pub seq: u64,
-    /// The worker's process that the call is meant for, from its last report; zero to ask for a
-    /// report only.
+    /// The id of the worker's process that the call is meant for, from its last report, or zero to request only a report.
     pub boot: u64,
-    /// Until when the worker may run tasks, or nothing if the call is not to renew.
+    /// The new lease, or `None` if the call does not renew it.
     pub lease: Option<Lease>,
     /// Tasks to start.
     pub start: Vec<StartTask>,
     /// Tasks to stop.
     pub stop: Vec<StopTask>,
-    /// Ended tasks that the worker can forget.
+    /// Ended tasks that the worker may forget.
     pub forget: Vec<RunningTask>,
 }
 
-/// Until when a worker may run tasks, by the worker's own clock as its last report told it. A late
-/// call can therefore never stretch a lease beyond what the allocator counts with.
+/// A lease: until when a worker may run tasks, by the worker's own clock as of its last report. A late call can therefore
+/// never extend a lease beyond the expiry that the allocator assumes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// For tasks that may not move.
+    /// The expiry for tasks that may not move to another zone.
     pub fixed_until: Millis,
-    /// For tasks that may be started in another zone.
+    /// The expiry for tasks that may be started in another zone.
     pub movable_until: Millis,
 }
 
@@ -46,11 +45,11 @@
     pub task: TaskId,
     /// The version that created its job.
     pub generation: u64,
-    /// What it may take.
+    /// The capacity that the task may use.
     pub size: Size,
-    /// How long it is declared to run; zero for a service.
+    /// The declared run time; zero for a service.
     pub run_time: Millis,
-    /// Whether it runs under the lease of movable tasks.
+    /// Whether the task may move, so that it runs under `movable_until` of the lease.
     pub may_move: bool,
 }
 
@@ -61,11 +60,11 @@
     pub task: TaskId,
     /// The version that created its job.
     pub generation: u64,
-    /// Whether its progress is to be kept.
+    /// Whether to save a checkpoint of the task's progress.
     pub checkpoint: bool,
 }
 
-/// A task on a worker, with the job's version that tells it from an earlier job of that name.
+/// A task on a worker, with the job's version, which distinguishes it from a task of an earlier job of the same name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RunningTask {
     /// The task.
@@ -77,56 +76,56 @@
 /// How a task ended on its worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskEnding {
-    /// It ran to its end.
+    /// The task ran to its end.
     Done,
-    /// It failed.
+    /// The task failed, for this reason.
     Failed(Name),
-    /// It was stopped, or its lease ran out.
+    /// The task was stopped, or its lease expired.
     Stopped,
 }
 
-/// A task that ended on a worker, kept until the allocator has made that lasting.
+/// A task that ended on a worker. The worker reports it until the allocator tells it to forget the task.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedTask {
     /// The task.
     pub task: RunningTask,
-    /// How it ended.
+    /// How the task ended.
     pub ending: TaskEnding,
-    /// How long it ran.
+    /// How long the task ran.
     pub ran: Millis,
 }
 
-/// What a worker tells of itself, after it has done what the call asked.
+/// A worker's report of its state, made after it has carried out the call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerReport {
-    /// The worker's process.
+    /// The id of the worker's process.
     pub boot: u64,
-    /// The worker's clock.
+    /// The worker's clock when it made the report.
     pub now: Millis,
-    /// What it has.
+    /// The worker's total capacity.
     pub total: Size,
-    /// Whether it is about to leave.
+    /// Whether the worker is about to leave.
     pub leaving: bool,
-    /// The tasks it runs.
+    /// The tasks that are running.
     pub running: Vec<RunningTask>,
-    /// What the running tasks may take in all.
+    /// The capacity allocated to the running tasks in total.
     pub taken: Size,
-    /// The tasks that ended and are not forgotten yet.
+    /// The tasks that have ended and are not forgotten yet.
     pub ended: Vec<EndedTask>,
-    /// What its tasks really use, with a lag.
+    /// What the running tasks actually use, measured with a lag.
     pub used: Size,
 }
 
-/// A worker's answer.
+/// A worker's reply to a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SyncReply {
-    /// It did what was asked.
+    /// The worker carried out the call.
     Done(WorkerReport),
-    /// It did nothing, because the call came from an older epoch or out of order.
+    /// The worker did nothing, because the call came from an older epoch or out of order.
     Refused {
-        /// The newest epoch it has seen.
+        /// The newest epoch that the worker has seen.
         epoch: Epoch,
-        /// The last call it took in.
+        /// The sequence number of the last call that it processed.
         seq: u64,
     },
 }
--- a/components/upstream/tests/protocol.rs
+++ b/components/upstream/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! Calls and reports read back as they were, and no bytes of a worker make the reader panic.
+//! Round trips of calls and reports through JSON. Arbitrary text from a worker must not make the decoder panic.
 
 use clock::Millis;
 use model::{Epoch, Size, TaskId};
