--- a/components/zone/tests/aside.rs
+++ b/components/zone/tests/aside.rs
@@ -1,4 +1,4 @@
-//! Workers that failed tasks are set aside, but never all that a task could use.
+//! Workers that fail tasks are quarantined, but never for long all of those that a task could use.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,7 +14,7 @@
 use zone::{Action, Allocator, AllocatorConfig, Authority};
 
 const STEP: u64 = 20;
-/// How long a task of a batch job runs.
+/// The run time of a batch job's task, in milliseconds.
 const RUN: u64 = 1_000;
 const SMALL: Size = Size { cpu_milli: 4_000, memory_mb: 8_000, accelerators: 0 };
 const LARGE: Size = Size { cpu_milli: 16_000, memory_mb: 32_000, accelerators: 0 };
@@ -23,9 +23,9 @@
 struct Worker {
     name: Name,
     size: Size,
-    /// Whether it fails whatever it starts.
+    /// Whether it fails every task that it starts.
     broken: bool,
-    /// Its tasks, each with when it ends.
+    /// The running tasks, each with its end time and size.
     running: BTreeMap<RunningTask, (u64, Size)>,
     ended: Vec<EndedTask>,
     failures: u32,
@@ -87,14 +87,15 @@
     }
 }
 
-/// An allocator and its workers, whose calls are answered at once.
+/// An allocator and its workers, which answer calls immediately.
 struct Zone {
     a: Allocator,
     now: u64,
     workers: Vec<Worker>,
     jobs: u64,
-    /// When each job was handed in, and when its task was done.
+    /// When each job was submitted.
     since: BTreeMap<JobName, u64>,
+    /// When each job's task was done.
     done: BTreeMap<JobName, u64>,
     failed: BTreeSet<JobName>,
 }
@@ -126,8 +127,8 @@
         zone
     }
 
-    /// Hands in a job of one task; those whose name begins with "bad" fail wherever they run.
-    fn hand_in(&mut self, name: &str, kind: JobKind, cpu: u64) -> JobName {
+    /// Submits a job of one task. Jobs whose name begins with "bad" fail on every worker.
+    fn submit(&mut self, name: &str, kind: JobKind, cpu: u64) -> JobName {
         self.jobs += 1;
         let name = JobName::from(format!("{name}{}", self.jobs).as_str());
         let run_time = if kind == JobKind::Service { Millis::ZERO } else { Millis(RUN) };
@@ -179,7 +180,7 @@
         (0..millis / STEP).for_each(|_| self.step());
     }
 
-    /// Gives how long it takes until a job is done, or nothing if it is not within `limit`.
+    /// Returns how long it takes until a job is done, or `None` if that takes longer than `limit`.
     fn done_after(&mut self, job: &JobName, limit: u64) -> Option<u64> {
         let since = self.now;
         while self.now < since + limit {
@@ -191,17 +192,17 @@
         None
     }
 
-    /// Fills every worker with jobs of one core each.
+    /// Fills all workers with jobs of one core each.
     fn fill(&mut self) {
         let cores: u64 = self.workers.iter().map(|w| w.size.cpu_milli / 1_000).sum();
-        (0..cores).for_each(|_| _ = self.hand_in("fills", JobKind::Service, 1_000));
+        (0..cores).for_each(|_| _ = self.submit("fills", JobKind::Service, 1_000));
         self.run_for(10 * STEP);
         let running: usize = self.workers.iter().map(|w| w.running.len()).sum();
-        assert_eq!(running as u64, cores, "all are full");
+        assert_eq!(running as u64, cores, "all workers are full");
     }
 
-    /// Has whatever runs on some of the workers fail at one moment. A second later the jobs are cancelled, so
-    /// that nothing waits.
+    /// Fails all tasks on some of the workers at the same time. A second later their jobs are cancelled, so that no task
+    /// waits.
     fn fail_together(&mut self, workers: std::ops::Range<usize>) {
         let mut jobs: Vec<JobName> = Vec::new();
         for w in &mut self.workers[workers] {
@@ -213,16 +214,16 @@
     }
 }
 
-/// All tasks of all workers fail at one moment, by a cause that they share. Then all is well: a job that is
-/// handed in a second later is done within some seconds.
-macro_rules! well_after_a_moment {
+/// All tasks of all workers fail at the same time from a shared cause, after which the workers are healthy. A job
+/// submitted a second later must be done within a few seconds instead of waiting for the end of the quarantines.
+macro_rules! job_done_after_shared_failure {
     ($($name:ident: $workers:expr => within $within:expr;)*) => {$(
         #[test]
         fn $name() {
             let mut z = Zone::new(&[LARGE; $workers]);
             z.fill();
             z.fail_together(0..$workers);
-            let job = z.hand_in("good", JobKind::Batch, 1_000);
+            let job = z.submit("good", JobKind::Batch, 1_000);
             let after = z.done_after(&job, 400_000);
             println!("done after {after:?} ms");
             assert!(after.is_some_and(|ms| ms <= RUN + $within), "done after {after:?} ms");
@@ -230,7 +231,7 @@
     )*};
 }
 
-well_after_a_moment! {
+job_done_after_shared_failure! {
     a_moment_s_failures_on_the_only_worker: 1 => within 10_200;
     a_moment_s_failures_on_both_workers: 2 => within 2_000;
     a_moment_s_failures_on_ten_workers: 10 => within 2_000;
@@ -242,21 +243,21 @@
     z.fill();
     z.fail_together(0..1);
     z.run_for(10_000);
-    let job = z.hand_in("good", JobKind::Batch, 1_000);
+    let job = z.submit("good", JobKind::Batch, 1_000);
     let after = z.done_after(&job, 400_000);
     assert!(after.is_some_and(|ms| ms <= RUN + 200), "done after {after:?} ms");
 }
 
-/// Three in ten jobs fail wherever they run: the others are done within some seconds.
-fn some_fail_everywhere(seed: u64, workers: usize) -> u64 {
+/// Runs a load in which three in ten jobs fail on every worker. Returns the longest wait of the other jobs.
+fn longest_wait_beside_failing_jobs(seed: u64, workers: usize) -> u64 {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut z = Zone::new(&vec![SMALL; workers]);
     let mut good = Vec::new();
     for _ in 0..120_000 / STEP {
-        // Half of what the workers could do.
+        // Half of the workers' capacity.
         if rng.random_range(0..100 * RUN) < 50 * STEP * 4 * workers as u64 {
             let name = if rng.random_range(0..10) < 3 { "bad" } else { "good" };
-            let job = z.hand_in(name, JobKind::Batch, 1_000);
+            let job = z.submit(name, JobKind::Batch, 1_000);
             good.extend((name == "good").then_some(job));
         }
         z.step();
@@ -269,30 +270,30 @@
 #[test]
 fn jobs_that_fail_everywhere_keep_no_worker_from_the_others() {
     for workers in [1, 2, 6, 20] {
-        let waits = (0..4).map(|seed| some_fail_everywhere(seed, workers));
+        let waits = (0..4).map(|seed| longest_wait_beside_failing_jobs(seed, workers));
         let worst = waits.max().unwrap_or(0);
-        println!("{workers} workers: a job that is well waits {worst} ms");
+        println!("{workers} workers: a healthy job waits {worst} ms");
         let most = if workers == 1 { 60_000 } else { 10_000 };
-        assert!(worst <= most, "{workers} workers: a job that is well waits {worst} ms");
+        assert!(worst <= most, "{workers} workers: a healthy job waits {worst} ms");
     }
 }
 
-/// A worker that is let back gets one task, and that never ends or is taken away: it does not stay closed
-/// for good.
-macro_rules! a_trial_ends {
-    ($($name:ident: $trial:ident, $end:expr;)*) => {$(
+/// A worker on probation gets one task, which never ends or is cancelled. The probation must end nevertheless, so that
+/// the worker takes other tasks again.
+macro_rules! probation_ends {
+    ($($name:ident: $kind:ident, $end:expr;)*) => {$(
         #[test]
         fn $name() {
             let mut z = Zone::new(&[LARGE; 1]);
             z.fill();
             z.fail_together(0..1);
             z.run_for(600_000);
-            let trial = z.hand_in("good", JobKind::$trial, 1_000);
+            let probation_task = z.submit("good", JobKind::$kind, 1_000);
             z.run_for(200);
-            assert_eq!(z.workers[0].running.len(), 1, "it is tried");
+            assert_eq!(z.workers[0].running.len(), 1, "the worker on probation got a task");
             let end: fn(&mut Zone, &JobName) = $end;
-            end(&mut z, &trial);
-            let job = z.hand_in("good", JobKind::Batch, 1_000);
+            end(&mut z, &probation_task);
+            let job = z.submit("good", JobKind::Batch, 1_000);
             let after = z.done_after(&job, 400_000);
             println!("done after {after:?} ms");
             assert!(after.is_some_and(|ms| ms <= RUN + 11_000), "done after {after:?} ms");
@@ -300,22 +301,22 @@
     )*};
 }
 
-a_trial_ends! {
+probation_ends! {
     a_task_that_lasts_is_no_trial_for_good: Service, |_, _| ();
     a_trial_that_is_cancelled_is_over: Service, |z, job| z.a.remove_job(Millis(z.now), job);
 }
 
-/// Workers that fail all they get, beside others that are well, get few tasks.
-macro_rules! broken_ones_stay_aside {
+/// Workers that fail every task must get few tasks while others are healthy.
+macro_rules! broken_workers_stay_quarantined {
     ($($name:ident: $broken:expr, of $workers:expr => at most $most:expr, given up $given_up:expr;)*) => {$(
         #[test]
         fn $name() {
             let mut z = Zone::new(&[SMALL; $workers]);
             z.workers[..$broken].iter_mut().for_each(|w| w.broken = true);
             for i in 0..300_000 / STEP {
-                // A quarter of what the workers could do.
+                // A quarter of the workers' capacity.
                 if i % (50 / $workers as u64) == 0 {
-                    z.hand_in("good", JobKind::Batch, 1_000);
+                    z.submit("good", JobKind::Batch, 1_000);
                 }
                 z.step();
             }
@@ -327,7 +328,7 @@
     )*};
 }
 
-broken_ones_stay_aside! {
+broken_workers_stay_quarantined! {
     one_broken_worker_of_four_stays_aside: 1, of 4 => at most 10, given up 0;
     half_of_the_workers_stay_aside: 5, of 10 => at most 50, given up 2;
 }
@@ -337,7 +338,7 @@
     let mut z = Zone::new(&[LARGE, LARGE, SMALL, SMALL, SMALL, SMALL, SMALL, SMALL]);
     z.fill();
     z.fail_together(0..2);
-    let job = z.hand_in("good", JobKind::Batch, 8_000);
+    let job = z.submit("good", JobKind::Batch, 8_000);
     let after = z.done_after(&job, 400_000);
     assert!(after.is_some_and(|ms| ms <= RUN + 2_000), "done after {after:?} ms");
 }
@@ -347,7 +348,7 @@
     let mut z = Zone::new(&[SMALL; 3]);
     z.a.set_drained(&BTreeSet::from([z.workers[2].name.clone()]));
     z.workers.iter_mut().for_each(|w| w.broken = true);
-    let job = z.hand_in("good", JobKind::Batch, 1_000);
+    let job = z.submit("good", JobKind::Batch, 1_000);
     while z.workers[0].failures + z.workers[1].failures < 2 {
         z.step();
     }
@@ -360,7 +361,7 @@
 fn a_job_goes_back_to_where_it_failed_if_the_other_workers_are_too_small() {
     let mut z = Zone::new(&[LARGE, LARGE, SMALL]);
     z.workers.iter_mut().for_each(|w| w.broken = true);
-    let job = z.hand_in("good", JobKind::Batch, 8_000);
+    let job = z.submit("good", JobKind::Batch, 8_000);
     while z.workers[0].failures + z.workers[1].failures < 2 {
         z.step();
     }
@@ -369,9 +370,14 @@
     assert!(after.is_some_and(|ms| ms <= RUN + 2_000), "done after {after:?} ms");
 }
 
-/// Some workers fail all they get for a while; gives how many jobs are given up, how many failures there are
-/// and the longest wait from when all are well.
-fn broken_for(seed: u64, broken: usize, workers: usize, millis: u64) -> (usize, u32, u64) {
+/// Runs a load while some workers fail every task for a while. Returns the number of jobs given up, the number of
+/// failures, and the longest wait of a job after all workers are healthy again.
+fn run_with_broken_workers(
+    seed: u64,
+    broken: usize,
+    workers: usize,
+    millis: u64,
+) -> (usize, u32, u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut z = Zone::new(&vec![SMALL; workers]);
     let begin = 10_000;
@@ -382,7 +388,7 @@
             z.workers[..broken].iter_mut().for_each(Worker::fail_all);
         }
         if rng.random_range(0..100 * RUN) < 50 * STEP * 4 * workers as u64 {
-            z.hand_in("good", JobKind::Batch, 1_000);
+            z.submit("good", JobKind::Batch, 1_000);
         }
         z.step();
     }
@@ -397,13 +403,13 @@
     (z.failed.len(), failures, z.since.iter().map(wait).max().unwrap_or(0))
 }
 
-/// Failures of workers have no more jobs given up than where all of them stay aside.
+/// Worker failures must not make more jobs be given up than if all failing workers stayed quarantined.
 macro_rules! jobs_outlast_failures {
     ($($name:ident: $broken:expr, of $workers:expr, for $millis:expr => given up $most:expr;)*) => {$(
         #[test]
         fn $name() {
             for seed in 0..4 {
-                let (given_up, failures, wait) = broken_for(seed, $broken, $workers, $millis);
+                let (given_up, failures, wait) = run_with_broken_workers(seed, $broken, $workers, $millis);
                 println!("seed {seed}: {given_up} given up, {failures} failures, {wait} ms");
                 assert!(given_up <= $most, "seed {seed}: {given_up} jobs are given up");
             }
@@ -424,26 +430,26 @@
 fn a_worker_that_is_let_back_is_given_one_task() {
     let mut z = Zone::new(&[SMALL]);
     z.workers[0].broken = true;
-    (0..8).for_each(|_| _ = z.hand_in("good", JobKind::Batch, 1_000));
+    (0..8).for_each(|_| _ = z.submit("good", JobKind::Batch, 1_000));
     z.run_for(9_000);
     let before = z.workers[0].failures;
     z.run_for(2_000);
     let after = z.workers[0].failures;
-    assert_eq!(after - before, 1, "tasks were given to it as it was let back");
+    assert_eq!(after - before, 1, "a worker on probation gets a single task");
 }
 
 #[test]
 fn a_job_goes_back_to_where_it_failed_once_the_worker_it_waits_for_is_out_of_use() {
     let mut z = Zone::new(&[SMALL; 3]);
-    z.hand_in("fills", JobKind::Service, 4_000);
+    z.submit("fills", JobKind::Service, 4_000);
     z.run_for(10 * STEP);
     z.workers.iter_mut().for_each(|w| w.broken = w.running.is_empty());
-    let job = z.hand_in("good", JobKind::Batch, 1_000);
+    let job = z.submit("good", JobKind::Batch, 1_000);
     while z.workers.iter().map(|w| w.failures).sum::<u32>() < 2 {
         z.step();
     }
     z.workers.iter_mut().for_each(|w| w.broken = false);
-    assert_eq!(z.done_after(&job, 3_000), None, "it waits for the worker that is full");
+    assert_eq!(z.done_after(&job, 3_000), None, "the job waits for the full worker");
     let full = z.workers.iter().find(|w| !w.running.is_empty()).map(|w| w.name.clone()).unwrap();
     z.a.set_drained(&BTreeSet::from([full]));
     let after = z.done_after(&job, 400_000);
@@ -451,7 +457,7 @@
 }
 
 impl Zone {
-    /// Has the task of a job fail, wherever it runs.
+    /// Fails the task of a job on the worker that runs it.
     fn fail(&mut self, job: &JobName) {
         for w in &mut self.workers {
             let run = w.running.keys().find(|r| r.task.job == *job).cloned();
@@ -459,7 +465,7 @@
                 w.end(run, TaskEnding::Failed("by itself".into()));
             }
         }
-        // The worker tells of it when it is called next.
+        // The worker reports the failure in reply to its next call.
         self.run_for(2_000);
     }
 
@@ -471,7 +477,7 @@
 #[test]
 fn a_service_that_fails_now_and_then_is_not_given_up() {
     let mut z = Zone::new(&[SMALL; 4]);
-    let job = z.hand_in("lasts", JobKind::Service, 1_000);
+    let job = z.submit("lasts", JobKind::Service, 1_000);
     for time in 1..=10 {
         z.run_for(120_000);
         z.fail(&job);
@@ -482,18 +488,18 @@
 #[test]
 fn services_that_fail_now_and_then_set_no_worker_aside() {
     let mut z = Zone::new(&[LARGE]);
-    let jobs: Vec<JobName> = (0..5).map(|_| z.hand_in("lasts", JobKind::Service, 1_000)).collect();
+    let jobs: Vec<JobName> = (0..5).map(|_| z.submit("lasts", JobKind::Service, 1_000)).collect();
     for job in &jobs {
         z.run_for(120_000);
         z.fail(job);
-        assert!(z.runs(job), "its worker is set aside by failures two minutes apart");
+        assert!(z.runs(job), "its worker was quarantined after failures two minutes apart");
     }
 }
 
 #[test]
 fn a_service_that_fails_at_once_is_given_up() {
     let mut z = Zone::new(&[SMALL; 4]);
-    let job = z.hand_in("bad", JobKind::Service, 1_000);
+    let job = z.submit("bad", JobKind::Service, 1_000);
     z.run_for(10_000);
     assert!(z.failed.contains(&job));
 }
--- a/components/zone/tests/common/mod.rs
+++ b/components/zone/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Real allocators over worker stand-ins, with a fake network and clocks that drift.
+//! A simulation of allocators and fake workers, with an unreliable network and drifting clocks.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,24 +28,24 @@
     boots: u64,
 }
 
-/// One instance that allocates, or thinks that it does.
+/// An instance that holds the zone, or believes that it does.
 pub struct Holder {
     pub alloc: Allocator,
     pub lease: ZoneLease,
-    pub pledges: PeerCommitments,
+    pub peer_commitments: PeerCommitments,
     pub rate: u64,
     pub frozen: bool,
-    /// Whether it is cut off from the cell.
-    pub cut: bool,
-    /// How much of the cell's log it has seen.
+    /// Whether it is partitioned from the cell.
+    pub partitioned: bool,
+    /// The number of log entries of the cell that it has applied.
     seen: usize,
-    ask_at: Millis,
+    next_confirm_at: Millis,
 }
 
 enum Phase {
     Request(SyncRequest),
     Reply(SyncReply),
-    /// The message is lost; the caller waits until its time is over.
+    /// The message is lost; the caller waits for its timeout.
     Lost,
 }
 
@@ -69,14 +69,14 @@
     pub current: usize,
     pub confirmed_at: u64,
     calls: Vec<Call>,
-    pub cut: BTreeSet<(usize, usize)>,
+    pub partitioned: BTreeSet<(usize, usize)>,
     pub starts: BTreeMap<RunningTask, u32>,
-    pub twice_notes: usize,
+    pub duplicate_events: usize,
     pub checks: u64,
-    /// The zone's other instance, which takes over; it may be out of the holder's reach.
-    pub mate_reachable: bool,
-    pledged: OwnCommitment,
-    /// Started while cut off from the cell.
+    /// Whether the holder can reach the zone's other instance, which takes over from it.
+    pub peer_reachable: bool,
+    own_commitment: OwnCommitment,
+    /// The number of ticks with only the authority that the peer's commitment gives.
     pub zone_only_ticks: u64,
     was_running: BTreeMap<RunningTask, usize>,
 }
@@ -105,12 +105,12 @@
             current: 0,
             confirmed_at: 0,
             calls: Vec::new(),
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             starts: BTreeMap::new(),
-            twice_notes: 0,
+            duplicate_events: 0,
             checks: 0,
-            mate_reachable: true,
-            pledged: OwnCommitment::default(),
+            peer_reachable: true,
+            own_commitment: OwnCommitment::default(),
             zone_only_ticks: 0,
             was_running: BTreeMap::new(),
         };
@@ -180,7 +180,7 @@
         self.commit(Command::CreateJob { spec, shares });
     }
 
-    /// Grants the zone to a new allocator, which knows the cell and no worker.
+    /// Grants the zone to a new allocator, which knows the cell's state but no worker report.
     pub fn grant(&mut self) {
         let after = self.cell.zones.epoch(&zone());
         let holder = model::InstanceId::from(format!("i{}", self.holders.len()).as_str());
@@ -205,23 +205,23 @@
         self.holders.push(Some(Holder {
             alloc,
             lease: ZoneLease::default(),
-            pledges: PeerCommitments::default(),
+            peer_commitments: PeerCommitments::default(),
             rate,
             frozen: false,
-            cut: false,
+            partitioned: false,
             seen: self.log.len(),
-            ask_at: Millis::ZERO,
+            next_confirm_at: Millis::ZERO,
         }));
     }
 
-    /// Grants the zone anew if its holder's lease has surely run out by the leader's clock.
+    /// Grants the zone to a new holder if the current one's lease has certainly expired by the leader's clock.
     pub fn take_over_if_due(&mut self) {
         let idle = match &self.holders[self.current] {
             None => true,
-            Some(h) => h.cut || h.frozen,
+            Some(h) => h.partitioned || h.frozen,
         };
         let granted = self.now - self.confirmed_at > takeover_delay().0;
-        if idle && granted && self.pledged.is_over(Millis(self.now)) {
+        if idle && granted && self.own_commitment.is_over(Millis(self.now)) {
             self.grant();
         }
     }
@@ -244,13 +244,13 @@
         let Some(mut h) = self.holders[i].take() else { return };
         if !h.frozen {
             let now = Millis(self.now * h.rate / 1000);
-            if !h.cut {
+            if !h.partitioned {
                 self.catch_up(&mut h, now);
                 self.confirm(i, &mut h, now);
             }
             self.time_out(i, &mut h, now);
             let right = self.right(i, &mut h, now);
-            let owns = h.cut || self.cell.zones.epoch(&zone()) == h.alloc.epoch();
+            let owns = h.partitioned || self.cell.zones.epoch(&zone()) == h.alloc.epoch();
             if owns {
                 for action in h.alloc.tick(now, right) {
                     self.act(i, &mut h, action);
@@ -265,13 +265,13 @@
         if h.lease.holds(now, epoch, self.applied(h)) {
             return Authority::Full;
         }
-        let mate = model::InstanceId::from("mate");
+        let peer = model::InstanceId::from("mate");
         let newest = self.cell.zones.epoch(&zone());
-        let asked = self.mate_reachable && i == self.current;
-        if asked && self.pledged.give(Millis(self.now), epoch, newest) {
-            h.pledges.note(epoch, &mate, now);
+        let asked = self.peer_reachable && i == self.current;
+        if asked && self.own_commitment.give(Millis(self.now), epoch, newest) {
+            h.peer_commitments.note(epoch, &peer, now);
         }
-        match h.pledges.hold(now, epoch, &BTreeSet::from([mate])) {
+        match h.peer_commitments.hold(now, epoch, &BTreeSet::from([peer])) {
             true => {
                 self.zone_only_ticks += 1;
                 Authority::ZoneOnly
@@ -285,8 +285,8 @@
     }
 
     fn confirm(&mut self, i: usize, h: &mut Holder, now: Millis) {
-        if i == self.current && now >= h.ask_at {
-            h.ask_at = now + Millis(500);
+        if i == self.current && now >= h.next_confirm_at {
+            h.next_confirm_at = now + Millis(500);
             h.lease.confirm(h.alloc.epoch(), now, self.index);
             self.confirmed_at = self.now;
         }
@@ -321,7 +321,7 @@
             let lost = errors::Error::Refused("no answer in time".into());
             let name = self.workers[call.worker].name.clone();
             h.alloc.on_reply(now, &name, call.seq, Err(lost));
-            // The request may still arrive, much later than anyone waits for it.
+            // The request may still arrive, long after its caller has timed out.
             if matches!(call.phase, Phase::Request(_)) && self.rng.random_range(0..4) == 0 {
                 self.calls.push(Call { timeout: 60_000, ..call });
             }
@@ -342,22 +342,22 @@
                     phase: Phase::Request(req),
                 });
             }
-            Action::Propose(command) if !h.cut => {
+            Action::Propose(command) if !h.partitioned => {
                 self.commit(command);
             }
-            Action::Event(AllocatorEvent::DuplicateTask { .. }) => self.twice_notes += 1,
+            Action::Event(AllocatorEvent::DuplicateTask { .. }) => self.duplicate_events += 1,
             _ => {}
         }
     }
 
-    /// Delivers one message that is under way, any of them.
+    /// Delivers one message in flight, chosen at random.
     pub fn deliver(&mut self) {
         if self.calls.is_empty() {
             return;
         }
         let place = self.rng.random_range(0..self.calls.len());
         let call = self.calls.swap_remove(place);
-        if self.cut.contains(&(call.holder, call.worker)) {
+        if self.partitioned.contains(&(call.holder, call.worker)) {
             self.calls.push(Call { phase: Phase::Lost, ..call });
             return;
         }
@@ -392,7 +392,7 @@
         self.check();
     }
 
-    /// No task runs on two workers, and no worker runs more than it has.
+    /// Checks that no task runs on two workers and that no worker is overcommitted.
     pub fn check(&mut self) {
         self.checks += 1;
         let mut places: BTreeMap<&RunningTask, usize> = BTreeMap::new();
@@ -412,16 +412,16 @@
         past + live.map(WorkerCore::overcommits).sum::<u32>()
     }
 
-    /// Ends all faults and lets time pass until `done` holds, or fails.
+    /// Ends all faults and advances time until `done` holds; panics if it never does.
     pub fn settle(&mut self, what: &str, done: impl Fn(&World) -> bool) {
-        self.cut.clear();
-        self.mate_reachable = true;
+        self.partitioned.clear();
+        self.peer_reachable = true;
         for i in 0..self.workers.len() {
             self.boot(i);
         }
         for h in self.holders.iter_mut().flatten() {
             h.frozen = false;
-            h.cut = false;
+            h.partitioned = false;
         }
         for _ in 0..6_000 {
             self.step(20);
@@ -441,7 +441,7 @@
             })
             .collect();
         let counts = self.holders[self.current].as_ref().map(|h| h.alloc.task_counts());
-        panic!("{what} never came: {job_lines:?} {counts:?}");
+        panic!("{what} did not occur: {job_lines:?} {counts:?}");
     }
 
     pub fn running_of(&self, job: &str) -> BTreeSet<TaskId> {
--- a/components/zone/tests/leases.rs
+++ b/components/zone/tests/leases.rs
@@ -1,4 +1,4 @@
-//! Random schedules of faults over a zone: no task twice, no worker overcommitted, nothing lost.
+//! Random fault schedules over a zone: no task runs twice, no worker is overcommitted, and no task is lost.
 
 mod common;
 
@@ -6,15 +6,15 @@
 use model::JobKind;
 use rand::Rng;
 
-/// Which faults a family of schedules may cause.
+/// The faults that a family of schedules may inject.
 #[derive(Clone, Copy, Default)]
 struct Faults {
     lost_calls: bool,
     dead_workers: bool,
     frozen_holders: bool,
     dead_holders: bool,
-    cut_holders: bool,
-    cut_links: bool,
+    partitioned_holders: bool,
+    partitioned_links: bool,
 }
 
 const STEPS: usize = 600;
@@ -54,8 +54,8 @@
     }
     let batch = &w.cell.jobs[&"batch".into()];
     assert_eq!(batch.done.len(), 12, "{:?}", batch.failed);
-    assert_eq!(w.overcommits(), 0, "a start was sent that did not fit");
-    assert_eq!(w.twice_notes, 0);
+    assert_eq!(w.overcommits(), 0, "a start was sent to a worker without the free capacity for it");
+    assert_eq!(w.duplicate_events, 0);
     (w.checks, w.holders.len())
 }
 
@@ -75,18 +75,18 @@
         910..920 if f.frozen_holders => freeze(w, current),
         920..935 => w.holders.iter_mut().flatten().for_each(|h| h.frozen = false),
         935..943 if f.dead_holders => w.holders[current] = None,
-        943..951 if f.cut_holders => {
+        943..951 if f.partitioned_holders => {
             if let Some(h) = w.holders[current].as_mut() {
-                h.cut = true;
+                h.partitioned = true;
             }
         }
-        951..955 => w.mate_reachable = !w.mate_reachable,
-        955..963 => w.holders.iter_mut().flatten().for_each(|h| h.cut = false),
-        963..980 if f.cut_links || f.lost_calls => {
-            w.cut.insert((current, worker));
+        951..955 => w.peer_reachable = !w.peer_reachable,
+        955..963 => w.holders.iter_mut().flatten().for_each(|h| h.partitioned = false),
+        963..980 if f.partitioned_links || f.lost_calls => {
+            w.partitioned.insert((current, worker));
         }
-        980..1000 if f.lost_calls => w.cut.clear(),
-        980..985 => w.cut.clear(),
+        980..1000 if f.lost_calls => w.partitioned.clear(),
+        980..985 => w.partitioned.clear(),
         _ => {}
     }
 }
@@ -95,7 +95,7 @@
     if let Some(h) = w.holders[holder].as_mut() {
         h.frozen = true;
     }
-    // A pause longer than any lease.
+    // Half of the pauses are longer than any lease.
     let long = w.rng.random_range(0..2) == 0;
     for _ in 0..if long { 150 } else { 5 } {
         w.step(60);
@@ -115,7 +115,7 @@
                 checks += c;
                 holders += h;
             }
-            assert!(checks > 10_000, "only {checks} checks: nothing was tried");
+            assert!(checks > 10_000, "only {checks} checks were made");
             assert!(holders >= $seeds.len());
         }
     };
@@ -140,7 +140,7 @@
 family!(
     allocators_cut_off_from_the_cell,
     4_000..4_150,
-    Faults { cut_holders: true, lost_calls: true, ..Faults::default() }
+    Faults { partitioned_holders: true, lost_calls: true, ..Faults::default() }
 );
 family!(
     everything_together,
@@ -150,7 +150,7 @@
         dead_workers: true,
         frozen_holders: true,
         dead_holders: true,
-        cut_holders: true,
-        cut_links: true,
+        partitioned_holders: true,
+        partitioned_links: true,
     }
 );
--- a/components/zone/tests/rules.rs
+++ b/components/zone/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Single rules of an allocator, each in the one situation that needs it.
+//! Tests of the allocator's individual rules.
 
 use std::collections::BTreeMap;
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// Gives the calls among actions, by worker.
+/// Returns the worker calls among `actions`, by worker.
 fn calls_in(actions: Vec<Action>) -> BTreeMap<Name, SyncRequest> {
     let call = |action| match action {
         Action::Sync { worker, req, .. } => Some((worker, req)),
@@ -76,7 +76,7 @@
     actions.into_iter().filter_map(call).collect()
 }
 
-/// Lets time pass and gives the calls that are made.
+/// Ticks the allocator and returns the calls that it makes.
 fn calls(a: &mut Allocator, now: u64, right: Authority) -> BTreeMap<Name, SyncRequest> {
     calls_in(a.tick(Millis(now), right))
 }
@@ -116,7 +116,7 @@
     a.apply_job(Millis(3), &job("new", 20, 1, 2_000));
     let second = calls(&mut a, 4, Authority::Full);
     assert_eq!(second["w0"].stop.len(), 1, "the foreign task is stopped");
-    assert_eq!(started(&second), 0, "its room is not given out yet");
+    assert_eq!(started(&second), 0, "its capacity is still allocated");
     answer(&mut a, 5, &second, "w0", report(&[], 0));
     assert_eq!(started(&calls(&mut a, 6, Authority::Full)), 1);
 }
@@ -138,8 +138,8 @@
     assert!(a.tick(Millis(5_000), Authority::Full).is_empty());
 }
 
-/// What an allocator of one answering worker starts under each right: of a movable job and of one
-/// that may not move.
+/// Checks what an allocator with one responsive worker starts under each authority, given a movable job and one that may
+/// not move.
 macro_rules! rights {
     ($($name:ident: $right:ident => $starts:expr, movable $movable:expr;)*) => {$(
         #[test]
@@ -157,7 +157,7 @@
             assert_eq!(names, $starts as &[&str]);
             let lease = next["w0"].lease.unwrap();
             assert_eq!(lease.movable_until > Millis::ZERO, $movable);
-            assert!(lease.fixed_until > Millis::ZERO, "fixed tasks go on");
+            assert!(lease.fixed_until > Millis::ZERO, "tasks that may not move keep their lease");
         }
     )*};
 }
@@ -174,7 +174,7 @@
     a.apply_job(Millis(0), &job("old", 5, 2, 1_000));
     let first = calls(&mut a, 1, Authority::Full);
     answer(&mut a, 2, &first, "w0", report(&[running("old", 0, 5)], 1_000));
-    assert_eq!(a.task_counts(), (1, 0, 1), "one is taken over, one is unaccounted for");
+    assert_eq!(a.task_counts(), (1, 0, 1), "one is adopted, one is unaccounted for");
     let second = calls(&mut a, 3, Authority::Full);
     assert_eq!(started(&second), 0);
     answer(&mut a, 4, &second, "w0", report(&[running("old", 0, 5)], 1_000));
@@ -183,8 +183,8 @@
     assert_eq!(started(&calls(&mut a, 7, Authority::Full)), 1);
 }
 
-/// A worker never reports: movable tasks of an earlier epoch start once its leases have surely run
-/// out, fixed ones do not.
+/// If a worker never reports, movable tasks of an earlier epoch start once its leases have certainly expired. Tasks that
+/// may not move keep waiting.
 #[test]
 fn unaccounted_tasks_start_after_all_leases_only_if_they_may_move() {
     let mut a = allocator(2);
@@ -240,7 +240,7 @@
     assert_eq!(calls(&mut a, 2_202, Authority::Full)["w0"].forget.len(), 1);
 }
 
-/// Fails whatever the worker was told to start.
+/// Reports a failure of every task that the call starts, and returns their number.
 fn fail_all(a: &mut Allocator, now: u64, made: &BTreeMap<Name, SyncRequest>, w: &str) -> usize {
     let Some(call) = made.get(w) else { return 0 };
     let failed = |s: &upstream::StartTask| EndedTask {
@@ -263,32 +263,32 @@
     let first = calls(&mut a, 1, Authority::Full);
     answer(&mut a, 2, &first, "w0", report(&[], 0));
     let mut failures = 0;
-    let mut aside = false;
+    let mut quarantined = false;
     for now in (10..9_000u64).step_by(20) {
         let actions = a.tick(Millis(now), Authority::Full);
-        aside |= actions
+        quarantined |= actions
             .iter()
             .any(|x| matches!(x, Action::Event(AllocatorEvent::WorkerQuarantined { .. })));
         let ends = actions.iter().any(|x| matches!(x, Action::Propose(Command::EndTasks { .. })));
-        assert!(!ends, "no job is blamed for a single worker");
+        assert!(!ends, "no job fails because of a single worker");
         let made = calls_in(actions);
         failures += fail_all(&mut a, now, &made, "w0");
     }
-    assert!(aside);
-    assert_eq!(failures, 3, "three jobs failing in a row are evidence enough");
+    assert!(quarantined);
+    assert_eq!(failures, 3, "three jobs failing in a row quarantine the worker");
 }
 
 #[test]
 fn a_job_that_fails_everywhere_is_told_so() {
-    told_that_it_fails(&["w0", "w1", "w2", "w3"]);
+    check_reported_as_failed(&["w0", "w1", "w2", "w3"]);
 }
 
 #[test]
 fn a_job_that_fails_is_told_so_in_a_zone_of_two_workers() {
-    told_that_it_fails(&["w0", "w1"]);
+    check_reported_as_failed(&["w0", "w1"]);
 }
 
-fn told_that_it_fails(workers: &[&str]) {
+fn check_reported_as_failed(workers: &[&str]) {
     let mut a = allocator(workers.len());
     a.apply_job(Millis(0), &job("bad", 20, 1, 1_000));
     let first = calls(&mut a, 1, Authority::Full);
@@ -309,7 +309,7 @@
             fail_all(&mut a, now, &made, w);
         }
     }
-    panic!("the job was never told");
+    panic!("the job was not reported as failed");
 }
 
 #[test]
