--- a/components/zone/src/action.rs
+++ b/components/zone/src/action.rs
@@ -37,7 +37,7 @@
         /// How many of its running tasks the allocator adopted.
         adopted: usize,
     },
-    /// A worker's lease has expired by any clock within the allowed drift, or the platform no longer lists the worker.
+    /// A worker's lease has certainly expired, or the platform no longer lists the worker.
     WorkerLost {
         /// The worker.
         worker: Name,
--- a/components/zone/src/health.rs
+++ b/components/zone/src/health.rs
@@ -38,12 +38,15 @@
     Probation(Option<Millis>),
 }
 
+/// The failure history of a worker.
 #[derive(Clone, Debug)]
 struct WorkerHealth {
+    /// The jobs whose tasks have failed there since the last success or quarantine.
     failed_jobs: BTreeSet<JobName>,
     /// When the first of the failures was recorded.
     failing_since: Millis,
     state: HealthState,
+    /// The length of the next quarantine.
     next_quarantine: Millis,
 }
 
@@ -58,8 +61,10 @@
     }
 }
 
+/// The failure history of a task.
 #[derive(Clone, Debug, Default)]
 struct TaskFailures {
+    /// Workers on which the task failed without the failure being attributed to them.
     workers: BTreeSet<WorkerIndex>,
     failures: u32,
     /// Workers to which a failure of this task is attributed, and when it failed there. These failures do not count
--- a/components/zone/src/lease.rs
+++ b/components/zone/src/lease.rs
@@ -99,8 +99,8 @@
 
     /// Returns whether the commitments of all `peers` are valid at `now`.
     pub fn hold(&self, now: Millis, epoch: Epoch, peers: &BTreeSet<InstanceId>) -> bool {
-        let pledged = |m: &InstanceId| self.until.get(m).is_some_and(|until| now < *until);
-        epoch == self.epoch && peers.iter().all(pledged)
+        let committed = |peer: &InstanceId| self.until.get(peer).is_some_and(|until| now < *until);
+        epoch == self.epoch && peers.iter().all(committed)
     }
 }
 
--- a/components/zone/src/worker_sync.rs
+++ b/components/zone/src/worker_sync.rs
@@ -15,7 +15,7 @@
     pub(crate) fn sync_workers(&mut self, now: Millis, authority: Authority) {
         let (epoch, worker_lease) = (self.cfg.epoch, self.cfg.worker_lease);
         let timeout = renewal_interval(worker_lease);
-        for session in self.sessions.values_mut().filter(|l| l.is_due(now, authority)) {
+        for session in self.sessions.values_mut().filter(|s| s.is_due(now, authority)) {
             let req = session.next_request(now, epoch, worker_lease, authority);
             let (worker, addr) = (session.name.clone(), session.addr);
             self.actions.push(Action::Sync { worker, addr, req, timeout });
@@ -47,7 +47,7 @@
     /// Queues the tasks of workers whose leases have certainly expired for placement again.
     pub(crate) fn expire_leases(&mut self, now: Millis) {
         let lost: Vec<WorkerIndex> =
-            self.sessions.iter().filter(|(_, l)| l.is_lost(now)).map(|(ix, _)| *ix).collect();
+            self.sessions.iter().filter(|(_, s)| s.is_lost(now)).map(|(ix, _)| *ix).collect();
         for ix in lost {
             let Some(session) = self.sessions.get_mut(&ix) else { continue };
             session.discard_tasks();
@@ -84,10 +84,11 @@
             return;
         }
         let all_reported =
-            !self.sessions.is_empty() && self.sessions.values().all(|l| l.has_reported());
+            !self.sessions.is_empty() && self.sessions.values().all(|s| s.has_reported());
         // The grant was already delayed until the last zone lease had expired; only the workers' leases remain.
-        let leases_over = now >= lease_expiry_bound(self.epoch_started_at, self.cfg.worker_lease);
-        if !all_reported && !leases_over {
+        let leases_expired =
+            now >= lease_expiry_bound(self.epoch_started_at, self.cfg.worker_lease);
+        if !all_reported && !leases_expired {
             return;
         }
         for task in std::mem::take(&mut self.unaccounted) {
--- a/components/zone/tests/aside.rs
+++ b/components/zone/tests/aside.rs
@@ -281,14 +281,14 @@
 /// A worker on probation gets one task, which never ends or is cancelled. The probation must end nevertheless, so that
 /// the worker takes other tasks again.
 macro_rules! probation_ends {
-    ($($name:ident: $kind:ident, $end:expr;)*) => {$(
+    ($($name:ident: $job_kind:ident, $end:expr;)*) => {$(
         #[test]
         fn $name() {
             let mut z = Zone::new(&[LARGE; 1]);
             z.fill();
             z.fail_together(0..1);
             z.run_for(600_000);
-            let probation_task = z.submit("good", JobKind::$kind, 1_000);
+            let probation_task = z.submit("good", JobKind::$job_kind, 1_000);
             z.run_for(200);
             assert_eq!(z.workers[0].running.len(), 1, "the worker on probation got a task");
             let end: fn(&mut Zone, &JobName) = $end;
