--- a/components/zone/src/reports.rs
+++ b/components/zone/src/reports.rs
@@ -217,7 +217,7 @@
         let attribution = self.health.record_failure(now, task, ix);
         match attribution {
             Attribution::JobFaulty => {
-                let reason = format!("failed on several workers, most recently: {reason}");
+                let reason = format!("failed on several workers, the last time: {reason}");
                 self.pending_ends.insert(task.clone(), (TaskOutcome::Failed(reason.into()), None));
                 return;
             }
