--- a/components/cell/src/assign.rs
+++ b/components/cell/src/assign.rs
@@ -16,11 +16,11 @@
 }
 
 /// Cuts a job over the zones. Gives `None` if no zone is known.
-pub fn assign(spec: &JobSpec, rooms: &[ZoneCapacity]) -> Option<Vec<Share>> {
-    if rooms.is_empty() {
+pub fn assign(spec: &JobSpec, capacities: &[ZoneCapacity]) -> Option<Vec<Share>> {
+    if capacities.is_empty() {
         return None;
     }
-    let mut ranked: Vec<&ZoneCapacity> = rooms.iter().collect();
+    let mut ranked: Vec<&ZoneCapacity> = capacities.iter().collect();
     // Zones with a worker large enough first, the roomiest of them first.
     ranked.sort_by_key(|r| {
         let fits = spec.size.fits(&r.largest);
@@ -34,30 +34,34 @@
         let usable: Vec<&&ZoneCapacity> =
             ranked.iter().filter(|r| spec.size.fits(&r.largest)).collect();
         let zones = if usable.is_empty() { ranked.iter().collect() } else { usable };
-        return Some(cut_evenly(spec.tasks, &zones));
+        return Some(split_evenly(spec.tasks, &zones));
     }
-    Some(cut_by_room(spec, &ranked))
+    Some(split_by_capacity(spec, &ranked))
 }
 
 /// Gives the roomiest zone other than `from` for tasks that must move.
-pub fn choose_target_zone(spec: &JobSpec, from: &ZoneId, rooms: &[ZoneCapacity]) -> Option<ZoneId> {
-    let others = rooms.iter().filter(|r| r.zone != *from && spec.size.fits(&r.largest));
+pub fn choose_target_zone(
+    spec: &JobSpec,
+    from: &ZoneId,
+    capacities: &[ZoneCapacity],
+) -> Option<ZoneId> {
+    let others = capacities.iter().filter(|r| r.zone != *from && spec.size.fits(&r.largest));
     let best = others.max_by_key(|r| (spec.size.copies_in(&r.free), r.zone.clone()))?;
     Some(best.zone.clone())
 }
 
-fn share(room: &ZoneCapacity, first: u32, count: u32) -> Share {
-    Share { zone: room.zone.clone(), first, count }
+fn share(capacity: &ZoneCapacity, first: u32, count: u32) -> Share {
+    Share { zone: capacity.zone.clone(), first, count }
 }
 
-fn cut_evenly(tasks: u32, zones: &[&&ZoneCapacity]) -> Vec<Share> {
+fn split_evenly(tasks: u32, zones: &[&&ZoneCapacity]) -> Vec<Share> {
     let n = zones.len() as u32;
     let mut shares = Vec::new();
     let mut first = 0;
-    for (i, room) in zones.iter().enumerate() {
+    for (i, capacity) in zones.iter().enumerate() {
         let count = tasks / n + u32::from((i as u32) < tasks % n);
         if count > 0 {
-            shares.push(share(room, first, count));
+            shares.push(share(capacity, first, count));
         }
         first += count;
     }
@@ -65,20 +69,20 @@
 }
 
 /// Fills the roomiest zone first; what fits nowhere now waits in the roomiest one.
-fn cut_by_room(spec: &JobSpec, ranked: &[&ZoneCapacity]) -> Vec<Share> {
+fn split_by_capacity(spec: &JobSpec, ranked: &[&ZoneCapacity]) -> Vec<Share> {
     let mut shares: Vec<Share> = Vec::new();
     let mut first = 0;
-    for room in ranked.iter().filter(|r| spec.size.fits(&r.largest)) {
-        let count = spec.size.copies_in(&room.free).min(u64::from(spec.tasks - first)) as u32;
+    for capacity in ranked.iter().filter(|r| spec.size.fits(&r.largest)) {
+        let count = spec.size.copies_in(&capacity.free).min(u64::from(spec.tasks - first)) as u32;
         if count > 0 {
-            shares.push(share(room, first, count));
+            shares.push(share(capacity, first, count));
             first += count;
         }
     }
-    let rest = spec.tasks - first;
+    let remaining = spec.tasks - first;
     match shares.last_mut() {
-        Some(last) => last.count += rest,
-        None => shares.push(share(ranked[0], 0, rest)),
+        Some(last) => last.count += remaining,
+        None => shares.push(share(ranked[0], 0, remaining)),
     }
     shares
 }
--- a/components/cell/src/claims.rs
+++ b/components/cell/src/claims.rs
@@ -25,11 +25,11 @@
     /// Claims a key at the cell's time `now`. Only the first claim of a key is granted; a key may
     /// not be made younger by a resend that states another time.
     pub fn claim(&mut self, now: Millis, claim: &Claim) -> ClaimReply {
-        self.forget(now);
+        self.remove_expired(now);
         if self.issued.contains_key(&claim.key) {
             return ClaimReply::Taken;
         }
-        if is_too_old(now, claim.issued) {
+        if is_expired(now, claim.issued) {
             return ClaimReply::TooOld;
         }
         if claim.issued > now + CLAIM_SKEW {
@@ -50,9 +50,9 @@
         self.issued.is_empty()
     }
 
-    fn forget(&mut self, now: Millis) {
+    fn remove_expired(&mut self, now: Millis) {
         while let Some((issued, _)) = self.by_age.first() {
-            if !is_too_old(now, *issued) {
+            if !is_expired(now, *issued) {
                 return;
             }
             if let Some((_, key)) = self.by_age.pop_first() {
@@ -62,6 +62,6 @@
     }
 }
 
-fn is_too_old(now: Millis, issued: Millis) -> bool {
+fn is_expired(now: Millis, issued: Millis) -> bool {
     now.since(issued) > CLAIM_WINDOW
 }
--- a/components/cell/src/lib.rs
+++ b/components/cell/src/lib.rs
@@ -3,11 +3,11 @@
 //! [`Cell::apply`] is pure and the same on every instance. docs/design/cell.md says what belongs
 //! here and what is left to the zones.
 
-mod answers;
 mod assign;
 mod claims;
 mod command;
 mod jobs;
+mod reply_cache;
 mod share;
 mod state;
 mod zones;
--- a/components/cell/src/answers.rs
+++ b/components/cell/src/reply_cache.rs
@@ -9,44 +9,44 @@
 
 /// How many answers are kept. A forgotten key is harmless: compare-and-set and unique names refuse
 /// a change that was made already.
-const KEPT: usize = 20_000;
+const MAX_CACHED_REPLIES: usize = 20_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Answered {
-    command: u32,
+struct CachedReply {
+    fingerprint: u32,
     reply: Reply,
 }
 
 /// Answers by key, oldest forgotten first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Answers {
-    by_key: BTreeMap<RequestKey, Answered>,
+pub(crate) struct ReplyCache {
+    by_key: BTreeMap<RequestKey, CachedReply>,
     order: VecDeque<RequestKey>,
 }
 
 /// What is known of a key.
-pub(crate) enum Known {
+pub(crate) enum Lookup {
     /// Nothing.
     New,
     /// The same command was answered with this.
-    Answered(Reply),
+    Cached(Reply),
     /// The key belongs to another command.
-    OtherCommand,
+    DifferentCommand,
 }
 
-impl Answers {
-    pub(crate) fn find(&self, key: &RequestKey, command: u32) -> Known {
+impl ReplyCache {
+    pub(crate) fn find(&self, key: &RequestKey, fingerprint: u32) -> Lookup {
         match self.by_key.get(key) {
-            None => Known::New,
-            Some(a) if a.command == command => Known::Answered(a.reply.clone()),
-            Some(_) => Known::OtherCommand,
+            None => Lookup::New,
+            Some(a) if a.fingerprint == fingerprint => Lookup::Cached(a.reply.clone()),
+            Some(_) => Lookup::DifferentCommand,
         }
     }
 
-    pub(crate) fn keep(&mut self, key: RequestKey, command: u32, reply: Reply) {
-        self.by_key.insert(key.clone(), Answered { command, reply });
+    pub(crate) fn insert(&mut self, key: RequestKey, fingerprint: u32, reply: Reply) {
+        self.by_key.insert(key.clone(), CachedReply { fingerprint, reply });
         self.order.push_back(key);
-        while self.order.len() > KEPT {
+        while self.order.len() > MAX_CACHED_REPLIES {
             if let Some(oldest) = self.order.pop_front() {
                 self.by_key.remove(&oldest);
             }
--- a/components/cell/src/state.rs
+++ b/components/cell/src/state.rs
@@ -8,11 +8,11 @@
 use model::{CellConfig, Epoch, InstanceId, JobName, JobSpec, Name, ZoneId};
 use serde::{Deserialize, Serialize};
 
-use crate::answers::{Answers, Known};
+use crate::reply_cache::{Lookup, ReplyCache};
 use crate::{Claims, Command, Job, JobState, Proposal, Reply, Share, TaskEnd, Zones};
 
 /// How many ended jobs are kept for operators to look at.
-const KEPT_ENDED: usize = 2_000;
+const MAX_ENDED_JOBS: usize = 2_000;
 
 /// The configuration in force and the version that put it there.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -44,8 +44,8 @@
     pub drained: BTreeSet<Name>,
     /// Counts changes to jobs, so that a zone can tell whether to look again.
     pub jobs_version: u64,
-    ended: VecDeque<JobName>,
-    answers: Answers,
+    ended_jobs: VecDeque<JobName>,
+    reply_cache: ReplyCache,
 }
 
 impl Cell {
@@ -54,15 +54,15 @@
         self.applied = index;
         self.time = self.time.max(proposal.at);
         let Some(key) = &proposal.key else {
-            return self.change(index, &proposal.command);
+            return self.apply_command(index, &proposal.command);
         };
-        let print = fingerprint(&proposal.command);
-        match self.answers.find(key, print) {
-            Known::Answered(reply) => reply,
-            Known::OtherCommand => conflict(0, "the request key was used for another call"),
-            Known::New => {
-                let reply = self.change(index, &proposal.command);
-                self.answers.keep(key.clone(), print, reply.clone());
+        let fingerprint = command_fingerprint(&proposal.command);
+        match self.reply_cache.find(key, fingerprint) {
+            Lookup::Cached(reply) => reply,
+            Lookup::DifferentCommand => conflict(0, "the request key was used for another call"),
+            Lookup::New => {
+                let reply = self.apply_command(index, &proposal.command);
+                self.reply_cache.insert(key.clone(), fingerprint, reply.clone());
                 reply
             }
         }
@@ -90,7 +90,7 @@
         decoded.map_err(|e| Error::Decode { what: "the cell state", reason: e.to_string() })
     }
 
-    fn change(&mut self, index: u64, command: &Command) -> Reply {
+    fn apply_command(&mut self, index: u64, command: &Command) -> Reply {
         match command {
             Command::ApplyConfig { base, text, config } => {
                 self.apply_config(index, *base, text, config)
@@ -148,7 +148,7 @@
         if job.is_active() {
             job.state = JobState::Cancelled;
             self.jobs_version = index;
-            self.note_ended(name.clone());
+            self.record_ended_job(name.clone());
         }
         Reply::Accepted { version: index }
     }
@@ -173,7 +173,7 @@
         if current != after {
             return conflict(current.0, "the zone's epoch has been granted since");
         }
-        self.zones.put(zone.clone(), Epoch(index), holder.clone());
+        self.zones.record_grant(zone.clone(), Epoch(index), holder.clone());
         Reply::Accepted { version: index }
     }
 
@@ -217,7 +217,7 @@
             let was_active = job.is_active();
             job.end_task(end.task.index, &end.outcome);
             if was_active && !job.is_active() {
-                self.note_ended(end.task.job.clone());
+                self.record_ended_job(end.task.job.clone());
             }
         }
         self.jobs_version = index;
@@ -243,10 +243,10 @@
         Reply::Accepted { version: index }
     }
 
-    fn note_ended(&mut self, name: JobName) {
-        self.ended.push_back(name);
-        while self.ended.len() > KEPT_ENDED {
-            if let Some(oldest) = self.ended.pop_front() {
+    fn record_ended_job(&mut self, name: JobName) {
+        self.ended_jobs.push_back(name);
+        while self.ended_jobs.len() > MAX_ENDED_JOBS {
+            if let Some(oldest) = self.ended_jobs.pop_front() {
                 self.jobs.remove(&oldest);
             }
         }
@@ -258,13 +258,13 @@
 }
 
 /// Tells a resend from another call under the same key.
-fn fingerprint(command: &Command) -> u32 {
+fn command_fingerprint(command: &Command) -> u32 {
     // The shares are chosen by whoever leads, so they are no part of what the caller asked for.
-    let asked = match command {
+    let requested = match command {
         Command::CreateJob { spec, .. } => {
             Command::CreateJob { spec: spec.clone(), shares: Vec::new() }
         }
         other => other.clone(),
     };
-    crc32fast::hash(&postcard::to_allocvec(&asked).unwrap_or_default())
+    crc32fast::hash(&postcard::to_allocvec(&requested).unwrap_or_default())
 }
--- a/components/cell/src/zones.rs
+++ b/components/cell/src/zones.rs
@@ -41,7 +41,7 @@
         self.epoch(zone) == epoch && epoch > Epoch(0)
     }
 
-    pub(crate) fn put(&mut self, zone: ZoneId, epoch: Epoch, holder: InstanceId) {
+    pub(crate) fn record_grant(&mut self, zone: ZoneId, epoch: Epoch, holder: InstanceId) {
         self.grants.insert(zone, Grant { epoch, holder: Some(holder) });
     }
 
--- a/components/cell/tests/commands.rs
+++ b/components/cell/tests/commands.rs
@@ -195,7 +195,7 @@
     assert!(!accepted(&cell.apply(3, &propose(None, to_zb))));
 }
 
-fn room(zone: &str, free: u64, largest: u64) -> ZoneCapacity {
+fn capacity(zone: &str, free: u64, largest: u64) -> ZoneCapacity {
     ZoneCapacity {
         zone: zone.into(),
         free: Size::new(free, free, 0),
@@ -208,10 +208,10 @@
     let mut job = spec("j", 4);
     job.kind = JobKind::Gang;
     job.size = Size::new(8_000, 8_000, 0);
-    let rooms = [room("za", 90_000, 4_000), room("zb", 10_000, 16_000)];
-    let shares = assign(&job, &rooms).unwrap();
+    let capacities = [capacity("za", 90_000, 4_000), capacity("zb", 10_000, 16_000)];
+    let shares = assign(&job, &capacities).unwrap();
     assert_eq!(shares, [Share { zone: "zb".into(), first: 0, count: 4 }]);
-    assert_eq!(choose_target_zone(&job, &"zb".into(), &rooms), None);
+    assert_eq!(choose_target_zone(&job, &"zb".into(), &capacities), None);
 }
 
 #[test]
@@ -219,8 +219,9 @@
     let mut job = spec("s", 7);
     job.kind = JobKind::Service;
     job.spread = Spread::Zone;
-    let rooms = [room("za", 9_000, 9_000), room("zb", 9_000, 9_000), room("zc", 9_000, 9_000)];
-    let mut counts: Vec<u32> = assign(&job, &rooms).unwrap().iter().map(|s| s.count).collect();
+    let capacities =
+        [capacity("za", 9_000, 9_000), capacity("zb", 9_000, 9_000), capacity("zc", 9_000, 9_000)];
+    let mut counts: Vec<u32> = assign(&job, &capacities).unwrap().iter().map(|s| s.count).collect();
     counts.sort_unstable();
     assert_eq!(counts, [2, 2, 3]);
 }
--- a/components/instance/src/active_config.rs
+++ b/components/instance/src/active_config.rs
@@ -12,7 +12,7 @@
 
 /// What was in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct InForce {
+pub(crate) struct ActiveConfig {
     /// The configuration.
     pub(crate) config: ConfigVersion,
     /// What was out of use.
@@ -20,19 +20,19 @@
 }
 
 /// The file that holds it.
-pub(crate) const IN_FORCE_FILE: &str = "in-force";
+pub(crate) const ACTIVE_CONFIG_FILE: &str = "in-force";
 
-impl InForce {
-    pub(crate) fn load(path: &std::path::Path) -> Result<Option<InForce>> {
+impl ActiveConfig {
+    pub(crate) fn load(path: &std::path::Path) -> Result<Option<ActiveConfig>> {
         let Some(bytes) = storage::load(path)? else { return Ok(None) };
-        Ok(Some(postcard::from_bytes(&bytes).map_err(fault)?))
+        Ok(Some(postcard::from_bytes(&bytes).map_err(decode_error)?))
     }
 
     pub(crate) fn save(&self, path: &std::path::Path) -> Result<()> {
-        storage::save(path, &postcard::to_allocvec(self).map_err(fault)?)
+        storage::save(path, &postcard::to_allocvec(self).map_err(decode_error)?)
     }
 }
 
-fn fault(e: postcard::Error) -> Error {
+fn decode_error(e: postcard::Error) -> Error {
     Error::Decode { what: "the configuration in force", reason: e.to_string() }
 }
--- a/components/instance/src/callers.rs
+++ b/components/instance/src/callers.rs
@@ -22,9 +22,9 @@
 use tokio::sync::oneshot;
 use upstream::headers;
 
-use self::forwarding::may_pass_on;
-use self::guards::{Counted, InQueue, Slot};
-use self::incoming::{Incoming, read_request, text};
+use self::forwarding::may_forward;
+use self::guards::{InProgressGuard, QueueGuard, SlotGuard};
+use self::incoming::{Incoming, header_text, read_request};
 use self::responses::{malformed, respond};
 use crate::core::Input;
 use crate::message::{Change, Outcome};
@@ -33,23 +33,23 @@
 use crate::upstream_call::{CallEnd, Clients, Outgoing};
 
 /// When callers come back to an instance that is not ready, stopping, or cut off from a key's home.
-const COME_BACK: Millis = Millis(1_000);
+const RETRY_AFTER: Millis = Millis(1_000);
 /// How many connections to an upstream an allocator needs.
 const ALLOCATOR_CONNECTIONS: u32 = 1;
 
 /// What the handlers on one thread share.
 #[derive(Clone)]
-pub(crate) struct Front {
+pub(crate) struct CallerService {
     pub(crate) shared: Arc<Shared>,
     pub(crate) core: Sender<Input>,
     pub(crate) clients: Clients,
 }
 
 /// Tells the balancer whether to send callers here.
-pub(crate) async fn health(front: State<Rc<Front>>) -> HttpResponse {
-    let shared = &front.shared;
-    let fit = shared.is_ready() && !shared.is_stopping() && !shared.is_drained();
-    match fit {
+pub(crate) async fn health(service: State<Rc<CallerService>>) -> HttpResponse {
+    let shared = &service.shared;
+    let accepts = shared.is_ready() && !shared.is_stopping() && !shared.is_drained();
+    match accepts {
         true => HttpResponse::Ok().body("ok"),
         false => HttpResponse::ServiceUnavailable().body("not for new callers"),
     }
@@ -57,24 +57,24 @@
 
 /// Serves one request.
 pub(crate) async fn run(
-    front: State<Rc<Front>>,
+    service: State<Rc<CallerService>>,
     req: HttpRequest,
     body: Result<Bytes, PayloadError>,
 ) -> HttpResponse {
-    let shared = &front.shared;
-    let _counted = Counted::new(shared);
+    let shared = &service.shared;
+    let _counted = InProgressGuard::new(shared);
     let started = Instant::now();
     let longest = shared.settings.longest_request;
     let whole = body.map_err(|e| format!("the body cannot be read whole: {e}"));
     let incoming = match whole.and_then(|body| read_request(&req, body, shared.now(), longest)) {
         Ok(incoming) => incoming,
         Err(fault) => {
-            let id = text(&req, headers::REQUEST).unwrap_or_default();
+            let id = header_text(&req, headers::REQUEST).unwrap_or_default();
             return malformed(id, &fault);
         }
     };
-    let answer = front.serve(&incoming).await;
-    front.note(&incoming, &answer, started);
+    let answer = service.serve(&incoming).await;
+    service.record_outcome(&incoming, &answer, started);
     respond(&incoming.id, answer)
 }
 
@@ -82,23 +82,23 @@
     Answer::Refused { reason, retry_after }
 }
 
-impl Front {
+impl CallerService {
     async fn serve(&self, incoming: &Incoming) -> Answer {
         if self.shared.is_closed() {
-            return refused(Refusal::Stopping, COME_BACK);
+            return refused(Refusal::Stopping, RETRY_AFTER);
         }
         if !self.shared.is_ready() {
-            return refused(Refusal::NotReady, COME_BACK);
+            return refused(Refusal::NotReady, RETRY_AFTER);
         }
         // A request that was passed on was claimed where it came in.
-        if let Some(claim) = incoming.key.as_ref().filter(|_| !incoming.passed_on)
+        if let Some(claim) = incoming.key.as_ref().filter(|_| !incoming.forwarded)
             && let Err(answer) = self.claim(incoming, claim).await
         {
             return answer;
         }
         match self.route(incoming).await {
-            Answer::Refused { reason, retry_after } if may_pass_on(incoming, reason) => {
-                let other = self.pass_on(incoming).await;
+            Answer::Refused { reason, retry_after } if may_forward(incoming, reason) => {
+                let other = self.forward(incoming).await;
                 other.unwrap_or(Answer::Refused { reason, retry_after })
             }
             answer => answer,
@@ -110,7 +110,7 @@
         let (tx, rx) = oneshot::channel();
         let command = Command::ClaimRequests { claims: vec![claim.clone()] };
         let change = Change::Command { key: None, command };
-        let unreachable = || refused(Refusal::NoHome, COME_BACK);
+        let unreachable = || refused(Refusal::NoHome, RETRY_AFTER);
         self.core.send(Input::Change { change, tx }).map_err(|_| unreachable())?;
         let left = incoming.deadline.since(self.shared.now());
         let waited = ntex::time::timeout(Wait(left.0.max(1) as u32), rx).await;
@@ -120,7 +120,7 @@
         };
         match replies.first() {
             Some(ClaimReply::Granted) => Ok(()),
-            Some(ClaimReply::TooNew) => Err(refused(Refusal::Malformed, COME_BACK)),
+            Some(ClaimReply::TooNew) => Err(refused(Refusal::Malformed, RETRY_AFTER)),
             Some(ClaimReply::Taken) => Err(Answer::MayHaveRun("this key was used before".into())),
             Some(ClaimReply::TooOld) => {
                 Err(Answer::MayHaveRun("this key is older than keys are kept".into()))
@@ -135,7 +135,7 @@
         let mut tried = BTreeSet::new();
         let mut may_have_run: Option<Answer> = None;
         loop {
-            let info = lock(&self.shared.plane).new_request(
+            let info = lock(&self.shared.request_plane).new_request(
                 incoming.class,
                 incoming.deadline,
                 tried.clone(),
@@ -149,20 +149,20 @@
             let refusal = match self.call_upstream(incoming, &upstream).await {
                 CallEnd::Done { body, .. } => return Answer::Done(body),
                 CallEnd::Failed(reason) => return Answer::Failed(reason),
-                CallEnd::NotRun { .. } => refused(Refusal::Overloaded, COME_BACK),
+                CallEnd::NotRun { .. } => refused(Refusal::Overloaded, RETRY_AFTER),
                 CallEnd::Broken(reason) => {
                     may_have_run = Some(Answer::MayHaveRun(reason));
-                    refused(Refusal::Overloaded, COME_BACK)
+                    refused(Refusal::Overloaded, RETRY_AFTER)
                 }
                 CallEnd::Crossed => {
                     let reason = "the upstream answered another request".into();
                     may_have_run = Some(Answer::MayHaveRun(reason));
-                    refused(Refusal::Overloaded, COME_BACK)
+                    refused(Refusal::Overloaded, RETRY_AFTER)
                 }
             };
             let again = incoming.repeatable || may_have_run.is_none();
             let now = self.shared.now();
-            if !again || !lock(&self.shared.plane).may_retry(now, &info) {
+            if !again || !lock(&self.shared.request_plane).may_retry(now, &info) {
                 return may_have_run.unwrap_or(refusal);
             }
         }
@@ -171,33 +171,33 @@
     /// Gives an upstream that is to take the request, once there is one, or the refusal.
     async fn find_upstream(&self, info: RequestInfo) -> Result<Name, Answer> {
         let (now, id, class) = (self.shared.now(), info.id, info.class);
-        let arrival = lock(&self.shared.plane).arrive(now, info);
+        let arrival = lock(&self.shared.request_plane).arrive(now, info);
         match arrival {
             Arrival::Decided(Admission::Send(upstream)) => {
-                self.note_wait(class, Millis::ZERO);
+                self.record_wait(class, Millis::ZERO);
                 Ok(upstream)
             }
             Arrival::Decided(Admission::Refuse { reason, retry_after }) => {
                 Err(refused(reason, retry_after))
             }
-            Arrival::Decided(Admission::Wait) => Err(refused(Refusal::Overloaded, COME_BACK)),
-            Arrival::Later(rx) => {
-                let _in_queue = InQueue { shared: self.shared.clone(), id };
+            Arrival::Decided(Admission::Wait) => Err(refused(Refusal::Overloaded, RETRY_AFTER)),
+            Arrival::Queued(rx) => {
+                let _in_queue = QueueGuard { shared: self.shared.clone(), id };
                 match rx.await {
                     Ok(Dispatch::Send { upstream, waited, .. }) => {
-                        self.note_wait(class, waited);
+                        self.record_wait(class, waited);
                         Ok(upstream)
                     }
                     Ok(Dispatch::Refuse { reason, retry_after, .. }) => {
                         Err(refused(reason, retry_after))
                     }
-                    Err(_) => Err(refused(Refusal::Overloaded, COME_BACK)),
+                    Err(_) => Err(refused(Refusal::Overloaded, RETRY_AFTER)),
                 }
             }
         }
     }
 
-    fn note_wait(&self, class: Class, waited: Millis) {
+    fn record_wait(&self, class: Class, waited: Millis) {
         let name = match class {
             Class::Urgent => "request_wait_urgent",
             Class::Normal => "request_wait_normal",
@@ -208,7 +208,7 @@
 
     async fn call_upstream(&self, incoming: &Incoming, upstream: &Name) -> CallEnd {
         let (shared, upstream) = (self.shared.clone(), upstream.clone());
-        let mut slot = Slot { shared, upstream, ending: RequestOutcome::Abandoned };
+        let mut slot = SlotGuard { shared, upstream, ending: RequestOutcome::Abandoned };
         let Some(addr) = self.shared.addresses().get(&slot.upstream).copied() else {
             return CallEnd::NotRun { leaving: true, connected: false };
         };
@@ -253,7 +253,7 @@
         }
     }
 
-    fn note(&self, incoming: &Incoming, answer: &Answer, started: Instant) {
+    fn record_outcome(&self, incoming: &Incoming, answer: &Answer, started: Instant) {
         let micros = started.elapsed().as_micros() as u64;
         let (name, event) = match answer {
             Answer::Done(_) => ("request_done", None),
--- a/components/instance/src/callers/forwarding.rs
+++ b/components/instance/src/callers/forwarding.rs
@@ -6,15 +6,15 @@
 use model::{Answer, Name, Refusal};
 use upstream::headers;
 
-use super::Front;
+use super::CallerService;
 use super::incoming::Incoming;
 
 /// How many instances of other zones a request is offered to.
-const PASS_ON_TRIES: usize = 2;
+const MAX_FORWARD_ATTEMPTS: usize = 2;
 
-impl Front {
+impl CallerService {
     /// Offers a request that this zone refused to instances of other zones.
-    pub(super) async fn pass_on(&self, incoming: &Incoming) -> Option<Answer> {
+    pub(super) async fn forward(&self, incoming: &Incoming) -> Option<Answer> {
         let zone = self.shared.zone();
         let peers = &self.shared.settings.peers;
         let mut others: Vec<(Name, SocketAddr)> = peers
@@ -25,10 +25,10 @@
         // Each request begins elsewhere, so that no instance gets all that is passed on.
         let begin = self.shared.journal.clock().next() as usize % others.len().max(1);
         others.rotate_left(begin);
-        for (name, addr) in others.into_iter().take(PASS_ON_TRIES) {
+        for (name, addr) in others.into_iter().take(MAX_FORWARD_ATTEMPTS) {
             let left = incoming.deadline.since(self.shared.now());
             let mut req = self.outgoing(incoming);
-            req.extra.extend(pass_on_headers(incoming, zone.as_str(), left));
+            req.extra.extend(forwarding_headers(incoming, zone.as_str(), left));
             match self.clients.call_peer(&name, addr, &req, left).await {
                 Answer::Refused { .. } => {}
                 answer => return Some(answer),
@@ -40,11 +40,15 @@
 
 /// Only a request that surely did not run and that another zone may have room for goes there, and
 /// only once.
-pub(super) fn may_pass_on(incoming: &Incoming, reason: Refusal) -> bool {
-    !incoming.passed_on && matches!(reason, Refusal::Overloaded | Refusal::NoUpstream)
+pub(super) fn may_forward(incoming: &Incoming, reason: Refusal) -> bool {
+    !incoming.forwarded && matches!(reason, Refusal::Overloaded | Refusal::NoUpstream)
 }
 
-fn pass_on_headers(incoming: &Incoming, zone: &str, left: Millis) -> Vec<(&'static str, String)> {
+fn forwarding_headers(
+    incoming: &Incoming,
+    zone: &str,
+    left: Millis,
+) -> Vec<(&'static str, String)> {
     let mut extra = vec![
         (headers::FORWARDED_BY, zone.to_string()),
         (headers::CLASS, incoming.class.as_str().to_string()),
--- a/components/instance/src/callers/guards.rs
+++ b/components/instance/src/callers/guards.rs
@@ -8,43 +8,43 @@
 use crate::shared::{Shared, lock};
 
 /// Counts a request from its arrival to its answer, however it ends.
-pub(super) struct Counted(Arc<Shared>);
+pub(super) struct InProgressGuard(Arc<Shared>);
 
-impl Counted {
-    pub(super) fn new(shared: &Arc<Shared>) -> Counted {
-        lock(&shared.plane).count(1);
-        Counted(shared.clone())
+impl InProgressGuard {
+    pub(super) fn new(shared: &Arc<Shared>) -> InProgressGuard {
+        lock(&shared.request_plane).adjust_in_progress(1);
+        InProgressGuard(shared.clone())
     }
 }
 
-impl Drop for Counted {
+impl Drop for InProgressGuard {
     fn drop(&mut self) {
-        lock(&self.0.plane).count(-1);
+        lock(&self.0.request_plane).adjust_in_progress(-1);
     }
 }
 
 /// Gives a slot back, also when the caller has gone and the handler is dropped.
-pub(super) struct Slot {
+pub(super) struct SlotGuard {
     pub(super) shared: Arc<Shared>,
     pub(super) upstream: Name,
     pub(super) ending: RequestOutcome,
 }
 
-impl Drop for Slot {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         let now = self.shared.now();
-        lock(&self.shared.plane).ended(now, &self.upstream, self.ending);
+        lock(&self.shared.request_plane).ended(now, &self.upstream, self.ending);
     }
 }
 
 /// Takes a request out of the queue when its caller has gone.
-pub(super) struct InQueue {
+pub(super) struct QueueGuard {
     pub(super) shared: Arc<Shared>,
     pub(super) id: u64,
 }
 
-impl Drop for InQueue {
+impl Drop for QueueGuard {
     fn drop(&mut self) {
-        lock(&self.shared.plane).give_up(self.id);
+        lock(&self.shared.request_plane).cancel(self.id);
     }
 }
--- a/components/instance/src/callers/incoming.rs
+++ b/components/instance/src/callers/incoming.rs
@@ -10,7 +10,7 @@
 /// How long a request may take whose caller does not say.
 const DEFAULT_DEADLINE: Millis = Millis(10_000);
 /// The longest id or key of a caller, in bytes.
-pub(super) const MAX_ID: usize = 200;
+pub(super) const MAX_ID_BYTES: usize = 200;
 
 /// A request as its caller sent it.
 pub(super) struct Incoming {
@@ -21,13 +21,13 @@
     pub(super) deadline: Millis,
     pub(super) key: Option<Claim>,
     pub(super) repeatable: bool,
-    pub(super) passed_on: bool,
+    pub(super) forwarded: bool,
     pub(super) work: Option<String>,
     pub(super) body: Bytes,
 }
 
 /// Gives a header's text, if there is any.
-pub(super) fn text<'a>(req: &'a HttpRequest, name: &str) -> Option<&'a str> {
+pub(super) fn header_text<'a>(req: &'a HttpRequest, name: &str) -> Option<&'a str> {
     req.headers().get(name).and_then(|v| v.to_str().ok())
 }
 
@@ -38,29 +38,29 @@
     now: Millis,
     longest: Millis,
 ) -> Result<Incoming, String> {
-    let id = text(req, headers::REQUEST).unwrap_or_default();
-    if id.is_empty() || id.len() > MAX_ID {
-        return Err(format!("{} must hold 1 to {MAX_ID} bytes", headers::REQUEST));
+    let id = header_text(req, headers::REQUEST).unwrap_or_default();
+    if id.is_empty() || id.len() > MAX_ID_BYTES {
+        return Err(format!("{} must hold 1 to {MAX_ID_BYTES} bytes", headers::REQUEST));
     }
-    let class = match text(req, headers::CLASS) {
+    let class = match header_text(req, headers::CLASS) {
         None => Class::Normal,
         Some(s) => Class::parse(s)
             .ok_or_else(|| format!("{} is none of urgent, normal, bulk", headers::CLASS))?,
     };
-    let wait = match text(req, headers::DEADLINE) {
+    let wait = match header_text(req, headers::DEADLINE) {
         None => DEFAULT_DEADLINE,
         Some(s) => {
             Millis(s.parse().map_err(|_| format!("{} is no number of ms", headers::DEADLINE))?)
         }
     };
-    let repeatable = match text(req, headers::REPEATABLE) {
+    let repeatable = match header_text(req, headers::REPEATABLE) {
         None | Some("yes") => true,
         Some("no") => false,
         Some(_) => return Err(format!("{} is neither yes nor no", headers::REPEATABLE)),
     };
     let key = if repeatable { None } else { Some(read_key(req)?) };
-    let passed_on = text(req, headers::FORWARDED_BY).is_some();
-    let caller = text(req, headers::CALLER).filter(|_| passed_on).unwrap_or(id);
+    let forwarded = header_text(req, headers::FORWARDED_BY).is_some();
+    let caller = header_text(req, headers::CALLER).filter(|_| forwarded).unwrap_or(id);
     Ok(Incoming {
         id: id.to_string(),
         caller: caller.to_string(),
@@ -68,21 +68,21 @@
         deadline: now + wait.min(longest),
         key,
         repeatable,
-        passed_on,
-        work: text(req, headers::WORK_TIME).map(str::to_string),
+        forwarded,
+        work: header_text(req, headers::WORK_TIME).map(str::to_string),
         body,
     })
 }
 
 fn read_key(req: &HttpRequest) -> Result<Claim, String> {
-    let key = text(req, headers::KEY).unwrap_or_default();
-    if key.is_empty() || key.len() > MAX_ID {
+    let key = header_text(req, headers::KEY).unwrap_or_default();
+    if key.is_empty() || key.len() > MAX_ID_BYTES {
         return Err(format!(
-            "a not repeatable request needs {} of 1 to {MAX_ID} bytes",
+            "a not repeatable request needs {} of 1 to {MAX_ID_BYTES} bytes",
             headers::KEY
         ));
     }
-    let issued = text(req, headers::KEY_ISSUED_AT).and_then(|s| s.parse().ok());
+    let issued = header_text(req, headers::KEY_ISSUED_AT).and_then(|s| s.parse().ok());
     let issued = issued.ok_or_else(|| {
         format!("a not repeatable request needs {}, when its key was made", headers::KEY_ISSUED_AT)
     })?;
--- a/components/instance/src/callers/responses.rs
+++ b/components/instance/src/callers/responses.rs
@@ -5,7 +5,7 @@
 use ntex::web::HttpResponse;
 use upstream::headers;
 
-use super::incoming::MAX_ID;
+use super::incoming::MAX_ID_BYTES;
 
 /// Writes the answer to a request.
 pub(super) fn respond(id: &str, answer: Answer) -> HttpResponse {
@@ -36,7 +36,7 @@
     let mut response = HttpResponse::build(StatusCode::BAD_REQUEST);
     response.header(headers::OUTCOME, "refused");
     response.header(headers::REASON, Refusal::Malformed.as_str());
-    if !id.is_empty() && id.len() <= MAX_ID {
+    if !id.is_empty() && id.len() <= MAX_ID_BYTES {
         response.header(headers::REQUEST, id);
     }
     response.header(headers::BODY_LENGTH, fault.len().to_string()).body(fault.to_string())
--- a/components/instance/src/core.rs
+++ b/components/instance/src/core.rs
@@ -27,23 +27,23 @@
 use upstream::{PlatformList, SyncReply, SyncRequest};
 use zone::Action;
 
-use self::timers::{ASK_EVERY, BARRIER_EVERY, Timers, is_due};
-use crate::active_config::InForce;
+use self::timers::{BARRIER_INTERVAL, LEADER_REQUEST_INTERVAL, Timers, is_due};
+use crate::active_config::ActiveConfig;
 use crate::message::{Change, Message, Outcome};
-use crate::pending_changes::{Forwarded, InLog};
+use crate::pending_changes::{ForwardedChanges, ProposedChanges};
 use crate::pending_reads::PendingReads;
 use crate::shared::{Shared, lock};
 use crate::zone_role::ZoneRole;
 use crate::zone_supervisor::ZoneSupervisor;
 
 /// How often time passes for the pure parts.
-const TICK: Millis = Millis(20);
+const TICK_INTERVAL: Millis = Millis(20);
 /// How often a process that has started asks for the copies that the one before it kept.
-const COPY_ASKS: u32 = 20;
+const MAX_COPY_REQUESTS: u32 = 20;
 /// How many inputs are taken in between two syncs at the most.
-const BATCH: usize = 4_096;
+const MAX_BATCH_INPUTS: usize = 4_096;
 /// How many entries the log may hold before it is replaced by a snapshot.
-const COMPACT_AFTER: usize = 2_000;
+const COMPACT_AFTER_ENTRIES: usize = 2_000;
 
 /// A question about the core's state, answered on its thread.
 pub(crate) type Query = Box<dyn FnOnce(&Core) + Send>;
@@ -65,7 +65,7 @@
     /// An upstream told this instance that it is leaving.
     Leaving(Name),
     /// Give up the epoch and leadership, for a planned stop.
-    HandOver { tx: oneshot::Sender<()> },
+    Handover { tx: oneshot::Sender<()> },
     /// End the thread.
     Stop,
 }
@@ -89,17 +89,17 @@
     pub(crate) zone_supervisor: ZoneSupervisor,
     links: Links,
     workers: UnboundedSender<WorkerCall>,
-    in_force_file: Option<PathBuf>,
-    in_force: InForce,
-    forwarded: Forwarded,
-    in_log: InLog,
+    active_config_file: Option<PathBuf>,
+    active_config: ActiveConfig,
+    forwarded: ForwardedChanges,
+    proposed_changes: ProposedChanges,
     reads: PendingReads,
     timers: Timers,
-    to_self: Vec<Message>,
+    self_messages: Vec<Message>,
     handing_over: Option<oneshot::Sender<()>>,
     last_leader: Option<InstanceId>,
     /// How often the zone's other instances are still asked for the events that they keep.
-    copy_asks_left: u32,
+    copy_requests_left: u32,
     /// Counts what was synced, for figures.
     pub(crate) synced: u64,
 }
@@ -111,7 +111,7 @@
     pub(crate) cell: Cell,
     pub(crate) links: Links,
     pub(crate) workers: UnboundedSender<WorkerCall>,
-    pub(crate) in_force_file: Option<PathBuf>,
+    pub(crate) active_config_file: Option<PathBuf>,
 }
 
 impl Core {
@@ -120,14 +120,14 @@
     /// # Errors
     /// If what was saved does not read back.
     pub(crate) fn new(parts: Parts) -> Result<Core> {
-        let Parts { shared, replica, cell, links, workers, in_force_file } = parts;
+        let Parts { shared, replica, cell, links, workers, active_config_file } = parts;
         let settings = &shared.settings;
         let (zone, id) = (settings.own.zone.clone(), settings.own.id.clone());
-        let mates = settings.peers.values().filter(|p| p.zone == zone && p.id != id);
-        let mates = mates.map(|p| p.id.clone()).collect();
-        let role = ZoneRole::new(zone, id, mates, settings.longest_request);
-        let in_force = match &in_force_file {
-            Some(path) => InForce::load(path)?,
+        let zone_peers = settings.peers.values().filter(|p| p.zone == zone && p.id != id);
+        let zone_peers = zone_peers.map(|p| p.id.clone()).collect();
+        let role = ZoneRole::new(zone, id, zone_peers, settings.longest_request);
+        let active_config = match &active_config_file {
+            Some(path) => ActiveConfig::load(path)?,
             None => None,
         };
         let mut core = Core {
@@ -138,22 +138,22 @@
             zone_supervisor: ZoneSupervisor::default(),
             links,
             workers,
-            in_force_file,
-            in_force: InForce::default(),
-            forwarded: Forwarded::default(),
-            in_log: InLog::default(),
+            active_config_file,
+            active_config: ActiveConfig::default(),
+            forwarded: ForwardedChanges::default(),
+            proposed_changes: ProposedChanges::default(),
             reads: PendingReads::default(),
             timers: Timers::default(),
-            to_self: Vec::new(),
+            self_messages: Vec::new(),
             handing_over: None,
             last_leader: None,
-            copy_asks_left: COPY_ASKS,
+            copy_requests_left: MAX_COPY_REQUESTS,
             synced: 0,
         };
-        if let Some(in_force) = in_force {
-            core.shared.put_config(in_force.config.clone());
-            core.shared.put_drained(in_force.drained.clone());
-            core.in_force = in_force;
+        if let Some(active_config) = active_config {
+            core.shared.put_config(active_config.config.clone());
+            core.shared.put_drained(active_config.drained.clone());
+            core.active_config = active_config;
             core.shared.set_ready();
         }
         Ok(core)
@@ -173,21 +173,21 @@
             let wait = next_tick.since(self.now()).duration().max(Duration::from_millis(1));
             match inputs.recv_timeout(wait) {
                 Ok(Input::Stop) | Err(RecvTimeoutError::Disconnected) => return Ok(()),
-                Ok(input) => self.take(input),
+                Ok(input) => self.handle_input(input),
                 Err(RecvTimeoutError::Timeout) => {}
             }
-            for input in inputs.try_iter().take(BATCH) {
+            for input in inputs.try_iter().take(MAX_BATCH_INPUTS) {
                 match input {
                     Input::Stop => return Ok(()),
-                    input => self.take(input),
+                    input => self.handle_input(input),
                 }
             }
             let now = self.now();
             if now >= next_tick {
-                next_tick = now + TICK;
+                next_tick = now + TICK_INTERVAL;
                 self.tick(now);
             }
-            self.settle()?;
+            self.sync_and_apply()?;
         }
     }
 
@@ -195,7 +195,7 @@
         self.shared.now()
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         let now = self.now();
         match input {
             Input::Packet(packet) => {
@@ -210,7 +210,7 @@
             }
             Input::List(list) => self.on_list(now, list),
             Input::Leaving(name) => self.on_leaving(&name, true),
-            Input::HandOver { tx } => self.on_hand_over(now, tx),
+            Input::Handover { tx } => self.on_handover(now, tx),
             Input::Stop => {}
         }
     }
@@ -221,73 +221,73 @@
 
     fn tick(&mut self, now: Millis) {
         self.replica.tick(now);
-        lock(&self.shared.plane).tick(now);
+        lock(&self.shared.request_plane).tick(now);
         self.forwarded.expire(now);
-        self.follow_leader();
+        self.handle_leader_change();
         if self.reads.is_past_barrier(self.cell.applied) {
             self.become_ready();
-        } else if is_due(now, &mut self.timers.barrier, BARRIER_EVERY) {
-            self.ask_barrier(now);
+        } else if is_due(now, &mut self.timers.barrier, BARRIER_INTERVAL) {
+            self.request_barrier(now);
         }
-        if is_due(now, &mut self.timers.ask, ASK_EVERY) {
-            self.ask_leader(now);
+        if is_due(now, &mut self.timers.leader_request, LEADER_REQUEST_INTERVAL) {
+            self.send_leader_requests(now);
         }
-        self.talk_to_zone(now);
+        self.send_zone_messages(now);
         self.move_shares(now);
         let (actions, change) = self.role.tick(now, &self.cell);
-        self.note_right(change);
+        self.log_authority_change(change);
         for action in actions {
-            self.act(now, action);
+            self.perform(now, action);
         }
         self.reads.settle(now, self.cell.applied);
     }
 
     /// Whoever waits for a leader that is gone gets the final answer now.
-    fn follow_leader(&mut self) {
+    fn handle_leader_change(&mut self) {
         let leader = self.leader();
         if leader != self.last_leader {
-            self.forwarded.give_up();
+            self.forwarded.abandon_all();
             self.last_leader = leader;
         }
     }
 
-    fn act(&mut self, now: Millis, action: Action) {
+    fn perform(&mut self, now: Millis, action: Action) {
         match action {
             Action::Sync { worker, addr, req, timeout } => {
                 let call = WorkerCall { epoch: req.epoch, worker, addr, req, timeout };
                 // The thread that makes calls ends only with the process.
                 let _ = self.workers.send(call);
             }
-            Action::Propose(command) => self.ask_for(now, command),
-            Action::Event(note) => self.note_zone(note),
+            Action::Propose(command) => self.request_change(now, command),
+            Action::Event(note) => self.log_allocator_event(note),
         }
     }
 
     /// Syncs what changed and acts on it, until nothing follows any more.
-    fn settle(&mut self) -> Result<()> {
+    fn sync_and_apply(&mut self) -> Result<()> {
         loop {
             let ahead = self.replica.take_ready_before_sync();
             let mut again = !ahead.committed.is_empty();
-            self.act_on(ahead)?;
+            self.process_flushed(ahead)?;
             let flushed = self.replica.flush()?;
             self.synced += flushed.synced as u64;
             again |= !flushed.committed.is_empty();
-            self.act_on(flushed)?;
-            for message in std::mem::take(&mut self.to_self) {
+            self.process_flushed(flushed)?;
+            for message in std::mem::take(&mut self.self_messages) {
                 let (now, id) = (self.now(), self.shared.id().clone());
                 self.on_message(now, id, message);
             }
-            if !again && self.to_self.is_empty() {
+            if !again && self.self_messages.is_empty() {
                 break;
             }
         }
         self.compact()?;
-        self.finish_hand_over();
+        self.finish_handover();
         Ok(())
     }
 
     fn compact(&mut self) -> Result<()> {
-        if self.replica.node().log_len() < COMPACT_AFTER {
+        if self.replica.node().log_len() < COMPACT_AFTER_ENTRIES {
             return Ok(());
         }
         let index = self.cell.applied;
--- a/components/instance/src/core/apply.rs
+++ b/components/instance/src/core/apply.rs
@@ -6,13 +6,13 @@
 use events::{Subject, kinds};
 
 use super::Core;
-use crate::active_config::InForce;
+use crate::active_config::ActiveConfig;
 use crate::message::Outcome;
-use crate::pending_changes::Asker;
+use crate::pending_changes::Requester;
 use crate::zone_supervisor::ZoneSupervisor;
 
 impl Core {
-    pub(super) fn act_on(&mut self, flushed: Flushed) -> Result<()> {
+    pub(super) fn process_flushed(&mut self, flushed: Flushed) -> Result<()> {
         for notice in flushed.notices {
             self.on_notice(notice);
         }
@@ -34,30 +34,30 @@
                 },
             }
         }
-        self.put_in_force()
+        self.activate_config()
     }
 
     fn apply(&mut self, index: u64, term: u64, data: &[u8]) {
         let now = self.now();
-        let asker = self.in_log.take(index, term).unwrap_or(Asker::Nobody);
+        let requester = self.proposed_changes.take(index, term).unwrap_or(Requester::Nobody);
         let Ok(proposal) = postcard::from_bytes::<Proposal>(data) else {
             // Every instance skips an entry that it cannot read, so that all stay the same.
             self.cell.skip(index);
             let reason = "the command cannot be read".into();
-            return self.answer(asker, Outcome::Invalid { reason });
+            return self.answer(requester, Outcome::Invalid { reason });
         };
         let active = self.active_jobs_of(&proposal.command);
         let reply = self.cell.apply(index, &proposal);
         if matches!(reply, Reply::Accepted { version } if version == index) {
-            self.note_applied(&proposal.command, index, &active);
+            self.log_applied(&proposal.command, index, &active);
             self.role.applied(now, &self.cell, &proposal.command);
             if matches!(proposal.command, Command::GrantEpoch { .. } | Command::ReleaseEpoch { .. })
             {
                 self.role.follow_grant(now, &self.cell);
-                self.timers.ask = now;
+                self.timers.leader_request = now;
             }
         }
-        self.answer(asker, Outcome::Applied(reply));
+        self.answer(requester, Outcome::Applied(reply));
     }
 
     /// Gives the active jobs of which a command ends tasks, so that it can be told which of them it ended.
@@ -72,7 +72,7 @@
     }
 
     /// Notes what an accepted command did, on the leader only where all instances see the same.
-    fn note_applied(&self, command: &Command, index: u64, were_active: &[model::JobName]) {
+    fn log_applied(&self, command: &Command, index: u64, were_active: &[model::JobName]) {
         let journal = &self.shared.journal;
         if let Command::GrantEpoch { zone, holder, .. } = command
             && holder == self.shared.id()
@@ -115,18 +115,18 @@
     }
 
     /// Puts a newer configuration in force: saved first, then used.
-    fn put_in_force(&mut self) -> Result<()> {
-        let newer = self.cell.config.version > self.in_force.config.version;
-        let behind = self.cell.config.version < self.in_force.config.version;
-        if behind || (!newer && self.cell.drained == self.in_force.drained) {
+    fn activate_config(&mut self) -> Result<()> {
+        let newer = self.cell.config.version > self.active_config.config.version;
+        let behind = self.cell.config.version < self.active_config.config.version;
+        if behind || (!newer && self.cell.drained == self.active_config.drained) {
             return Ok(());
         }
-        let in_force =
-            InForce { config: self.cell.config.clone(), drained: self.cell.drained.clone() };
-        if let Some(path) = &self.in_force_file {
-            in_force.save(path)?;
+        let active_config =
+            ActiveConfig { config: self.cell.config.clone(), drained: self.cell.drained.clone() };
+        if let Some(path) = &self.active_config_file {
+            active_config.save(path)?;
         }
-        self.in_force = in_force;
+        self.active_config = active_config;
         self.shared.put_drained(self.cell.drained.clone());
         if newer {
             let version = self.cell.config.version;
@@ -150,8 +150,8 @@
             Notice::Resigned { term, reason } => {
                 let text = format!("term {term}: {reason}");
                 journal.note(&kinds::LEADER_RESIGNED, Subject::default(), text);
-                for asker in self.in_log.take_all() {
-                    self.answer(asker, Outcome::Unknown);
+                for requester in self.proposed_changes.take_all() {
+                    self.answer(requester, Outcome::Unknown);
                 }
             }
             Notice::MembershipChanged(m) => {
--- a/components/instance/src/core/changes.rs
+++ b/components/instance/src/core/changes.rs
@@ -8,13 +8,13 @@
 
 use super::Core;
 use crate::message::{Change, Message, Outcome};
-use crate::pending_changes::Asker;
+use crate::pending_changes::Requester;
 
 impl Core {
     pub(super) fn on_change(&mut self, now: Millis, change: Change, tx: oneshot::Sender<Outcome>) {
         match self.leader() {
             Some(leader) if leader == *self.shared.id() => {
-                self.propose_change(now, change, Asker::Here(tx));
+                self.propose_change(now, change, Requester::Here(tx));
             }
             Some(leader) => {
                 let token = self.forwarded.add(now, tx);
@@ -28,46 +28,46 @@
     }
 
     /// Asks the leader for a change whose outcome shows in the state.
-    pub(super) fn ask_for(&mut self, now: Millis, command: Command) {
+    pub(super) fn request_change(&mut self, now: Millis, command: Command) {
         let change = Change::Command { key: None, command };
         match self.leader() {
             Some(leader) if leader == *self.shared.id() => {
-                self.propose_change(now, change, Asker::Nobody);
+                self.propose_change(now, change, Requester::Nobody);
             }
             Some(leader) => {
-                let token = self.forwarded.add_silent();
+                let token = self.forwarded.next_token();
                 self.send(&leader, Message::Change { token, change });
             }
             None => {}
         }
     }
 
-    pub(super) fn answer(&mut self, asker: Asker, outcome: Outcome) {
-        match asker {
-            Asker::Here(tx) => {
+    pub(super) fn answer(&mut self, requester: Requester, outcome: Outcome) {
+        match requester {
+            Requester::Here(tx) => {
                 // The caller may have gone.
                 let _ = tx.send(outcome);
             }
-            Asker::Peer(id, token) => self.send(&id, Message::Changed { token, outcome }),
-            Asker::Nobody => {}
+            Requester::Peer(id, token) => self.send(&id, Message::Changed { token, outcome }),
+            Requester::Nobody => {}
         }
     }
 
-    pub(super) fn propose_change(&mut self, now: Millis, change: Change, asker: Asker) {
+    pub(super) fn propose_change(&mut self, now: Millis, change: Change, requester: Requester) {
         let (key, command) = match change {
             Change::Command { key, command } => (key, command),
-            Change::CreateJob { key, spec } => match self.place_job(&spec) {
+            Change::CreateJob { key, spec } => match self.choose_shares(&spec) {
                 Ok(shares) => (Some(key), Command::CreateJob { spec, shares }),
-                Err(outcome) => return self.answer(asker, outcome),
+                Err(outcome) => return self.answer(requester, outcome),
             },
             Change::Member { id, role } => {
                 let outcome = match self.replica.change_member(now, &id, role) {
                     Ok(()) => Outcome::Applied(Reply::Accepted {
                         version: self.replica.node().last_index(),
                     }),
-                    Err(e) => Outcome::Refused { reason: change_fault(&e) },
+                    Err(e) => Outcome::Refused { reason: change_error_reason(&e) },
                 };
-                return self.answer(asker, outcome);
+                return self.answer(requester, outcome);
             }
         };
         let proposal = Proposal { key, at: wall_now(), command };
@@ -75,20 +75,20 @@
             Ok(data) => data,
             Err(e) => {
                 let reason = format!("cannot be written: {e}").into();
-                return self.answer(asker, Outcome::Invalid { reason });
+                return self.answer(requester, Outcome::Invalid { reason });
             }
         };
         match self.replica.propose(now, data.into()) {
-            Ok((index, term)) => self.in_log.add(index, term, asker),
+            Ok((index, term)) => self.proposed_changes.add(index, term, requester),
             Err(_) => {
                 let reason = "this instance does not lead, or too much is under way".into();
-                self.answer(asker, Outcome::Refused { reason });
+                self.answer(requester, Outcome::Refused { reason });
             }
         }
     }
 
     /// Chooses the zones of a new job, or says that it can never run.
-    fn place_job(&self, spec: &model::JobSpec) -> Result<Vec<cell::Share>, Outcome> {
+    fn choose_shares(&self, spec: &model::JobSpec) -> Result<Vec<cell::Share>, Outcome> {
         let rooms = self.zone_supervisor.zone_capacities();
         let all_known = rooms.len() == self.cell.zones.iter().count();
         let fits = rooms.iter().any(|r| spec.size.fits(&r.largest));
@@ -101,7 +101,7 @@
     }
 }
 
-fn change_fault(e: &ChangeError) -> Name {
+fn change_error_reason(e: &ChangeError) -> Name {
     match e {
         ChangeError::NotLeader(_) => "this instance does not lead".into(),
         ChangeError::Busy => "an earlier change of members is under way".into(),
--- a/components/instance/src/core/event_logging.rs
+++ b/components/instance/src/core/event_logging.rs
@@ -7,7 +7,7 @@
 use crate::shared::lock;
 
 impl Core {
-    pub(super) fn note_right(&self, change: Option<Authority>) {
+    pub(super) fn log_authority_change(&self, change: Option<Authority>) {
         let zone = self.shared.zone();
         let journal = &self.shared.journal;
         match change {
@@ -27,7 +27,7 @@
         }
     }
 
-    pub(super) fn note_zone(&self, note: AllocatorEvent) {
+    pub(super) fn log_allocator_event(&self, note: AllocatorEvent) {
         let journal = &self.shared.journal;
         match note {
             AllocatorEvent::WorkerReported { worker, adopted } => {
--- a/components/instance/src/core/handover.rs
+++ b/components/instance/src/core/handover.rs
@@ -7,15 +7,15 @@
 use super::Core;
 
 impl Core {
-    pub(super) fn on_hand_over(&mut self, now: Millis, tx: oneshot::Sender<()>) {
+    pub(super) fn on_handover(&mut self, now: Millis, tx: oneshot::Sender<()>) {
         if let Some(release) = self.role.release() {
-            self.ask_for(now, release);
+            self.request_change(now, release);
         }
         self.handing_over = Some(tx);
     }
 
     /// Hands leadership over once the release of the epoch is in the log.
-    pub(super) fn finish_hand_over(&mut self) {
+    pub(super) fn finish_handover(&mut self) {
         let Some(tx) = self.handing_over.take() else { return };
         let now = self.now();
         let grant = self.cell.zones.grant(self.shared.zone());
--- a/components/instance/src/core/messages.rs
+++ b/components/instance/src/core/messages.rs
@@ -6,63 +6,65 @@
 
 use super::Core;
 use crate::message::Message;
-use crate::pending_changes::Asker;
+use crate::pending_changes::Requester;
 use crate::shared::lock;
 
 /// How many events one message copies at the most.
-pub(super) const MOST_COPIES: usize = 2_000;
+pub(super) const MAX_COPIES_PER_MESSAGE: usize = 2_000;
 
 impl Core {
     pub(super) fn on_message(&mut self, now: Millis, from: InstanceId, message: Message) {
         match message {
             Message::Consensus(envelope) => self.replica.receive(now, envelope),
             Message::Change { token, change } => {
-                self.propose_change(now, change, Asker::Peer(from, token));
+                self.propose_change(now, change, Requester::Peer(from, token));
             }
             Message::Changed { token, outcome } => self.forwarded.answer(token, outcome),
-            Message::ReadAsk { token } => {
-                let index = self.certain_index(now);
-                self.send(&from, Message::ReadAt { token, index });
+            Message::ReadIndexRequest { token } => {
+                let index = self.confirmed_index(now);
+                self.send(&from, Message::ReadIndexReply { token, index });
             }
-            Message::ReadAt { token, index } => self.reads.told(token, index),
-            Message::ZoneRequest(ask) => self.on_zone_ask(now, &from, &ask),
+            Message::ReadIndexReply { token, index } => self.reads.on_index(token, index),
+            Message::ZoneRequest(request) => self.on_zone_request(now, &from, &request),
             Message::ZoneConfirmed { epoch, asked_at, last_index } => {
                 self.role.confirm(epoch, asked_at, last_index);
             }
-            Message::PledgeAsk { epoch, asked_at } => {
-                if self.role.pledge(now, epoch, &self.cell) {
-                    self.send(&from, Message::Pledge { epoch, asked_at });
+            Message::CommitmentRequest { epoch, asked_at } => {
+                if self.role.give_commitment(now, epoch, &self.cell) {
+                    self.send(&from, Message::Commitment { epoch, asked_at });
                 }
             }
-            Message::Pledge { epoch, asked_at } => self.role.take_pledge(epoch, &from, asked_at),
+            Message::Commitment { epoch, asked_at } => {
+                self.role.record_commitment(epoch, &from, asked_at)
+            }
             Message::Demand(demand) => {
                 let config = self.shared.config();
-                let pool = crate::request_plane::pool_to_lend(&config.config);
+                let pool = crate::request_plane::lendable_slots(&config.config);
                 if let Some(loan) = self.role.lend(now, &demand, pool) {
                     self.send(&from, Message::Loan(loan));
                 }
             }
-            Message::Loan(loan) => lock(&self.shared.plane).take_loan(now, &loan),
+            Message::Loan(loan) => lock(&self.shared.request_plane).apply_loan(now, &loan),
             Message::Leaving(name) => self.on_leaving(&name, false),
             Message::Events(copies) if from != *self.shared.id() => {
                 self.shared.journal.keep_copies(copies);
             }
             Message::Events(_) => {}
-            Message::EventsAsk => {
-                for part in self.shared.journal.all_copies().chunks(MOST_COPIES) {
-                    self.send(&from, Message::EventsKept(part.to_vec()));
+            Message::EventsRequest => {
+                for part in self.shared.journal.all_copies().chunks(MAX_COPIES_PER_MESSAGE) {
+                    self.send(&from, Message::RetainedEvents(part.to_vec()));
                 }
             }
-            Message::EventsKept(copies) => {
+            Message::RetainedEvents(copies) => {
                 self.shared.journal.keep_copies(copies);
-                self.copy_asks_left = 0;
+                self.copy_requests_left = 0;
             }
         }
     }
 
     pub(super) fn send(&mut self, to: &InstanceId, message: Message) {
         if to == self.shared.id() {
-            self.to_self.push(message);
+            self.self_messages.push(message);
         } else {
             self.links.send(to, self.shared.journal.clock().next(), message);
         }
@@ -76,7 +78,7 @@
     }
 
     /// Sends to all instances of the zone but this one.
-    pub(super) fn send_to_mates(&mut self, message: &Message) {
+    pub(super) fn send_to_zone_peers(&mut self, message: &Message) {
         let own = self.shared.id().clone();
         for id in self.zone_instances().into_iter().filter(|id| *id != own) {
             self.send(&id, message.clone());
--- a/components/instance/src/core/upstreams.rs
+++ b/components/instance/src/core/upstreams.rs
@@ -27,17 +27,17 @@
             addresses.insert(worker.name.clone(), worker.addr);
         }
         self.shared.put_addresses(addresses);
-        lock(&self.shared.plane).set_targets(targets);
+        lock(&self.shared.request_plane).set_targets(targets);
     }
 
-    pub(super) fn on_leaving(&mut self, name: &Name, tell: bool) {
-        let news = lock(&self.shared.plane).note_leaving(name);
-        if !news {
+    pub(super) fn on_leaving(&mut self, name: &Name, notify_peers: bool) {
+        let newly_known = lock(&self.shared.request_plane).mark_leaving(name);
+        if !newly_known {
             return;
         }
         let text = format!("{name} is leaving");
         self.shared.journal.note(&kinds::UPSTREAM_LEAVING, Subject::default(), text);
-        if tell {
+        if notify_peers {
             self.send_to_zone(&Message::Leaving(name.clone()));
         }
     }
--- a/components/instance/src/disk.rs
+++ b/components/instance/src/disk.rs
@@ -12,33 +12,33 @@
 use rand::{Rng, SeedableRng};
 use storage::DataFolder;
 
-use crate::active_config::IN_FORCE_FILE;
+use crate::active_config::ACTIVE_CONFIG_FILE;
 use crate::shared::Shared;
 
 /// What the disk gives back.
-pub(crate) struct Opened {
+pub(crate) struct RestoredState {
     pub(crate) replica: Replica,
     pub(crate) cell: Cell,
     /// Where the configuration in force is kept.
-    pub(crate) in_force_file: Option<PathBuf>,
+    pub(crate) active_config_file: Option<PathBuf>,
 }
 
 /// Opens the disk, if there is one, and reads back what it remembers.
 ///
 /// # Errors
 /// If it cannot be used, or if what it remembers does not read back.
-pub(crate) fn open_disk(shared: &Shared) -> Result<Opened> {
+pub(crate) fn open_disk(shared: &Shared) -> Result<RestoredState> {
     let settings = &shared.settings;
     let mut rng = StdRng::seed_from_u64(settings.seed ^ u64::from(settings.own.addr.port()));
     let mut restored = Restored::default();
     let mut disk: Box<dyn Disk> = Box::new(MemoryDisk);
-    let mut in_force_file = None;
+    let mut active_config_file = None;
     // An instance without a disk is another one after each start.
     let mut incarnation = clock::wall_now().0 ^ rng.random::<u64>();
     if let Some(path) = &settings.data_folder {
         let folder = DataFolder::open(path)?;
         incarnation = folder.incarnation();
-        in_force_file = Some(folder.file(IN_FORCE_FILE));
+        active_config_file = Some(folder.file(ACTIVE_CONFIG_FILE));
         let (file_disk, found) = FileDisk::open(folder)?;
         if file_disk.truncated_bytes() > 0 {
             let text = format!("{} bytes", file_disk.truncated_bytes());
@@ -57,5 +57,5 @@
     let mut cell = Cell::decode(&restored.snapshot.data)?;
     cell.skip(restored.snapshot.last_index);
     let node = Node::new(cfg, restored, shared.now());
-    Ok(Opened { replica: Replica::new(node, disk), cell, in_force_file })
+    Ok(RestoredState { replica: Replica::new(node, disk), cell, active_config_file })
 }
--- a/components/instance/src/figures.rs
+++ b/components/instance/src/figures.rs
@@ -8,10 +8,18 @@
 /// Gives the figures of an instance and of its process.
 pub(crate) fn figures(core: &Core) -> Vec<Figure> {
     let mut figures = lock(&core.shared.timings).figures();
-    let plane = lock(&core.shared.plane);
-    figures.push(Figure::new("requests_under_way", f64::from(plane.under_way()), "requests"));
-    figures.push(Figure::new("requests_queued", plane.router().waiting() as f64, "requests"));
-    drop(plane);
+    let request_plane = lock(&core.shared.request_plane);
+    figures.push(Figure::new(
+        "requests_under_way",
+        f64::from(request_plane.in_progress()),
+        "requests",
+    ));
+    figures.push(Figure::new(
+        "requests_queued",
+        request_plane.router().waiting() as f64,
+        "requests",
+    ));
+    drop(request_plane);
     figures.push(Figure::new("log_entries", core.replica.node().log_len() as f64, "entries"));
     figures.push(Figure::new("records_synced", core.synced as f64, "records"));
     figures.push(Figure::new("request_claims", core.cell.claims.len() as f64, "claims"));
--- a/components/instance/src/links.rs
+++ b/components/instance/src/links.rs
@@ -17,7 +17,7 @@
 use crate::shared::Shared;
 
 /// How often the test file of refused links is read.
-const REFUSE_EVERY: Wait = Wait(100);
+const REFUSED_POLL_INTERVAL: Wait = Wait(100);
 
 /// Opens the links to all instances of the settings.
 ///
@@ -60,6 +60,6 @@
                 return;
             }
         }
-        sleep(REFUSE_EVERY).await;
+        sleep(REFUSED_POLL_INTERVAL).await;
     }
 }
--- a/components/instance/src/listeners.rs
+++ b/components/instance/src/listeners.rs
@@ -9,7 +9,7 @@
 use ntex_grpc::server::GrpcServer;
 use upstream::MAX_BODY_BYTES;
 
-use crate::callers::{self, Front};
+use crate::callers::{self, CallerService};
 use crate::core::Input;
 use crate::operators::OperatorServer;
 use crate::shared::Shared;
@@ -23,9 +23,10 @@
 ) -> std::io::Result<ntex::server::Server> {
     let server = HttpServer::new(async move || {
         let clients = Clients::default();
-        let front = Rc::new(Front { shared: shared.clone(), core: core.clone(), clients });
+        let service =
+            Rc::new(CallerService { shared: shared.clone(), core: core.clone(), clients });
         App::new()
-            .state(front)
+            .state(service)
             .state(web::types::PayloadConfig::new(MAX_BODY_BYTES))
             .service(web::resource("/run").route(web::post().to(callers::run)))
             .service(web::resource("/health").route(web::get().to(callers::health)))
--- a/components/instance/src/message.rs
+++ b/components/instance/src/message.rs
@@ -28,12 +28,12 @@
         outcome: Outcome,
     },
     /// Asks the leader up to where its state is certain.
-    ReadAsk {
+    ReadIndexRequest {
         /// The asker's number.
         token: u64,
     },
-    /// Answers [`Message::ReadAsk`].
-    ReadAt {
+    /// Answers [`Message::ReadIndexRequest`].
+    ReadIndexReply {
         /// The asker's number.
         token: u64,
         /// The entry that the asker has to have applied, or nothing if this instance cannot tell.
@@ -51,14 +51,14 @@
         last_index: u64,
     },
     /// The zone's allocator, cut off from the leader, asks the others not to allocate for a while.
-    PledgeAsk {
+    CommitmentRequest {
         /// The allocator's epoch.
         epoch: Epoch,
         /// The asker's clock.
         asked_at: Millis,
     },
-    /// Grants [`Message::PledgeAsk`].
-    Pledge {
+    /// Grants [`Message::CommitmentRequest`].
+    Commitment {
         /// The epoch.
         epoch: Epoch,
         /// The asker's clock, from its question.
@@ -73,9 +73,9 @@
     /// Copies of the sender's events, for the case that its process dies.
     Events(Vec<EventCopy>),
     /// A process that has just started asks for the copies that the one before it kept.
-    EventsAsk,
-    /// Answers [`Message::EventsAsk`] with a part of what the sender keeps.
-    EventsKept(Vec<EventCopy>),
+    EventsRequest,
+    /// Answers [`Message::EventsRequest`] with a part of what the sender keeps.
+    RetainedEvents(Vec<EventCopy>),
 }
 
 /// A zone's instance asks to allocate for it, or to go on.
--- a/components/instance/src/operators.rs
+++ b/components/instance/src/operators.rs
@@ -19,11 +19,11 @@
 use crate::status::status;
 
 /// How long a call waits for its outcome.
-const PATIENCE: Wait = Wait(6_000);
+const MAX_WAIT: Wait = Wait(6_000);
 /// When an operator comes back after a refusal.
-const COME_BACK: Millis = Millis(500);
+const RETRY_AFTER: Millis = Millis(500);
 /// The longest request key, in bytes.
-const MAX_KEY: usize = 200;
+const MAX_KEY_BYTES: usize = 200;
 
 /// Answers operators' calls by handing them to the core.
 #[derive(Clone)]
@@ -33,7 +33,7 @@
 }
 
 fn reply(outcome: pb::Outcome, version: u64, reason: &str) -> pb::ChangeReply {
-    let retry_after_ms = if outcome == pb::Outcome::Refused { COME_BACK.0 } else { 0 };
+    let retry_after_ms = if outcome == pb::Outcome::Refused { RETRY_AFTER.0 } else { 0 };
     pb::ChangeReply { outcome, version, reason: reason.into(), retry_after_ms }
 }
 
@@ -58,13 +58,13 @@
 }
 
 fn request_key(text: &str) -> Result<RequestKey, pb::ChangeReply> {
-    if text.is_empty() || text.len() > MAX_KEY {
-        return Err(invalid(&format!("request_key must hold 1 to {MAX_KEY} bytes")));
+    if text.is_empty() || text.len() > MAX_KEY_BYTES {
+        return Err(invalid(&format!("request_key must hold 1 to {MAX_KEY_BYTES} bytes")));
     }
     Ok(RequestKey::from(text))
 }
 
-fn fault_lines(findings: &errors::Findings) -> String {
+fn format_findings(findings: &errors::Findings) -> String {
     let lines: Vec<String> = findings.list.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
@@ -79,7 +79,7 @@
         };
         match api::convert::job_spec(&req.job) {
             Ok(spec) => self.change(Change::CreateJob { key, spec }).await,
-            Err(findings) => invalid(&fault_lines(&findings)),
+            Err(findings) => invalid(&format_findings(&findings)),
         }
     }
 
@@ -97,7 +97,7 @@
                 let command = Command::ApplyConfig { base: req.base_version, text, config };
                 self.command(&req.request_key, command).await
             }
-            Err(findings) => invalid(&fault_lines(&findings)),
+            Err(findings) => invalid(&format_findings(&findings)),
         }
     }
 
@@ -174,7 +174,7 @@
         if self.core.send(Input::Change { change, tx }).is_err() {
             return change_reply(Outcome::Refused { reason: "the instance is stopping".into() });
         }
-        let outcome = ntex::time::timeout(PATIENCE, rx).await;
+        let outcome = ntex::time::timeout(MAX_WAIT, rx).await;
         change_reply(outcome.unwrap_or(Ok(Outcome::Unknown)).unwrap_or(Outcome::Unknown))
     }
 
@@ -184,17 +184,17 @@
         if self.core.send(Input::Read { tx }).is_err() {
             return false;
         }
-        matches!(ntex::time::timeout(PATIENCE, rx).await, Ok(Ok(true)))
+        matches!(ntex::time::timeout(MAX_WAIT, rx).await, Ok(Ok(true)))
     }
 
     async fn query<T: Send + 'static>(
         &self,
-        ask: impl FnOnce(&Core) -> T + Send + 'static,
+        read: impl FnOnce(&Core) -> T + Send + 'static,
     ) -> Option<T> {
         let (tx, rx) = oneshot::channel();
         let query = move |core: &Core| {
             // The caller may have gone.
-            let _ = tx.send(ask(core));
+            let _ = tx.send(read(core));
         };
         self.core.send(Input::Query(Box::new(query))).ok()?;
         rx.await.ok()
--- a/components/instance/src/pending_changes.rs
+++ b/components/instance/src/pending_changes.rs
@@ -9,7 +9,7 @@
 use crate::message::Outcome;
 
 /// How long an outcome is waited for before it is told as unknown.
-pub(crate) const PATIENCE: Millis = Millis(5_000);
+pub(crate) const MAX_WAIT: Millis = Millis(5_000);
 
 /// Gives the number from which a process counts its questions, beyond those of an earlier process of
 /// this instance, so that a late answer to that one is not taken for one of its own.
@@ -19,7 +19,7 @@
 }
 
 /// Who gets an outcome.
-pub(crate) enum Asker {
+pub(crate) enum Requester {
     /// A call on this instance.
     Here(oneshot::Sender<Outcome>),
     /// Another instance, with its number for the change.
@@ -29,26 +29,26 @@
 }
 
 /// Changes sent to the leader, by this instance's numbers.
-pub(crate) struct Forwarded {
+pub(crate) struct ForwardedChanges {
     next: u64,
     waiting: BTreeMap<u64, (oneshot::Sender<Outcome>, Millis)>,
 }
 
-impl Default for Forwarded {
+impl Default for ForwardedChanges {
     fn default() -> Self {
-        Forwarded { next: first_token(), waiting: BTreeMap::new() }
+        ForwardedChanges { next: first_token(), waiting: BTreeMap::new() }
     }
 }
 
-impl Forwarded {
+impl ForwardedChanges {
     pub(crate) fn add(&mut self, now: Millis, tx: oneshot::Sender<Outcome>) -> u64 {
         self.next += 1;
-        self.waiting.insert(self.next, (tx, now + PATIENCE));
+        self.waiting.insert(self.next, (tx, now + MAX_WAIT));
         self.next
     }
 
     /// Numbers a change whose outcome nobody waits for.
-    pub(crate) fn add_silent(&mut self) -> u64 {
+    pub(crate) fn next_token(&mut self) -> u64 {
         self.next += 1;
         self.next
     }
@@ -67,7 +67,7 @@
     }
 
     /// Gives up on all outcomes at once, because the leader they were asked of is gone.
-    pub(crate) fn give_up(&mut self) {
+    pub(crate) fn abandon_all(&mut self) {
         for (tx, _) in std::mem::take(&mut self.waiting).into_values() {
             // The caller may have gone.
             let _ = tx.send(Outcome::Unknown);
@@ -77,25 +77,25 @@
 
 /// Changes in this leader's log, by index.
 #[derive(Default)]
-pub(crate) struct InLog {
-    waiting: BTreeMap<u64, (u64, Asker)>,
+pub(crate) struct ProposedChanges {
+    waiting: BTreeMap<u64, (u64, Requester)>,
 }
 
-impl InLog {
-    pub(crate) fn add(&mut self, index: u64, term: u64, asker: Asker) {
-        if !matches!(asker, Asker::Nobody) {
-            self.waiting.insert(index, (term, asker));
+impl ProposedChanges {
+    pub(crate) fn add(&mut self, index: u64, term: u64, requester: Requester) {
+        if !matches!(requester, Requester::Nobody) {
+            self.waiting.insert(index, (term, requester));
         }
     }
 
     /// Gives who asked for the entry at `index`, if it is the one of that term.
-    pub(crate) fn take(&mut self, index: u64, term: u64) -> Option<Asker> {
-        let (asked_term, asker) = self.waiting.remove(&index)?;
-        (asked_term == term).then_some(asker)
+    pub(crate) fn take(&mut self, index: u64, term: u64) -> Option<Requester> {
+        let (asked_term, requester) = self.waiting.remove(&index)?;
+        (asked_term == term).then_some(requester)
     }
 
     /// Gives everyone who waits, because this instance no longer leads.
-    pub(crate) fn take_all(&mut self) -> Vec<Asker> {
+    pub(crate) fn take_all(&mut self) -> Vec<Requester> {
         std::mem::take(&mut self.waiting).into_values().map(|w| w.1).collect()
     }
 }
--- a/components/instance/src/request_plane.rs
+++ b/components/instance/src/request_plane.rs
@@ -12,13 +12,13 @@
 use tokio::sync::oneshot;
 
 /// The chosen ways; docs/design/requests.md says by which measurement.
-const WAY: SlotSharing = SlotSharing::Borrowed;
-const PICK: SelectionPolicy = SelectionPolicy::ShortestWait;
+const SLOT_SHARING: SlotSharing = SlotSharing::Borrowed;
+const UPSTREAM_SELECTION: SelectionPolicy = SelectionPolicy::ShortestWait;
 
 fn router_config(config: &CellConfig) -> RouterConfig {
     RouterConfig {
-        sharing: WAY,
-        selection: PICK,
+        sharing: SLOT_SHARING,
+        selection: UPSTREAM_SELECTION,
         slots: config.upstream_slots,
         instances: config.instances_per_zone,
         queue_limit: config.queue_limit,
@@ -27,8 +27,8 @@
 }
 
 /// Gives what the zone's broker may lend of each upstream.
-pub(crate) fn pool_to_lend(config: &CellConfig) -> u32 {
-    routing::lendable_slots(WAY, config.upstream_slots, config.instances_per_zone)
+pub(crate) fn lendable_slots(config: &CellConfig) -> u32 {
+    routing::lendable_slots(SLOT_SHARING, config.upstream_slots, config.instances_per_zone)
 }
 
 /// What an arriving request is told.
@@ -36,31 +36,31 @@
     /// The router has decided.
     Decided(Admission),
     /// It will decide.
-    Later(oneshot::Receiver<Dispatch>),
+    Queued(oneshot::Receiver<Dispatch>),
 }
 
 /// The router, and whom to tell its later decisions.
-pub(crate) struct Plane {
+pub(crate) struct RequestPlane {
     router: Router,
-    waiting: BTreeMap<u64, oneshot::Sender<Dispatch>>,
+    waiters: BTreeMap<u64, oneshot::Sender<Dispatch>>,
     next_id: u64,
-    under_way: u32,
+    in_progress: u32,
     listed: BTreeMap<Name, TargetState>,
     /// Upstreams that said themselves, or of which a peer said, that they are leaving.
     leaving: BTreeSet<Name>,
 }
 
-impl Plane {
-    pub(crate) fn new(settings: &Instance) -> Plane {
-        Plane {
+impl RequestPlane {
+    pub(crate) fn new(settings: &Instance) -> RequestPlane {
+        RequestPlane {
             router: Router::new(
                 router_config(&CellConfig::default()),
                 settings.seed,
                 clock::wall_now().0,
             ),
-            waiting: BTreeMap::new(),
+            waiters: BTreeMap::new(),
             next_id: 0,
-            under_way: 0,
+            in_progress: 0,
             listed: BTreeMap::new(),
             leaving: BTreeSet::new(),
         }
@@ -87,7 +87,7 @@
     }
 
     /// Notes that an upstream is leaving. Gives false if that was known.
-    pub(crate) fn note_leaving(&mut self, name: &Name) -> bool {
+    pub(crate) fn mark_leaving(&mut self, name: &Name) -> bool {
         let known = !self.listed.contains_key(name) || !self.leaving.insert(name.clone());
         self.router.note_leaving(name);
         !known
@@ -107,15 +107,15 @@
     pub(crate) fn arrive(&mut self, now: Millis, info: RequestInfo) -> Arrival {
         let (id, class) = (info.id, info.class);
         match self.router.admit(now, info.clone()) {
-            Admission::Wait => Arrival::Later(self.wait_for(id)),
+            Admission::Wait => Arrival::Queued(self.wait_for(id)),
             refusal @ Admission::Refuse { .. } if class == Class::Urgent => {
                 // Lower classes give way; the refusal stands if there are none.
                 let Some(shed) = self.router.shed_below(now, class) else {
                     return Arrival::Decided(refusal);
                 };
-                self.tell(vec![shed]);
+                self.notify(vec![shed]);
                 match self.router.admit(now, info) {
-                    Admission::Wait => Arrival::Later(self.wait_for(id)),
+                    Admission::Wait => Arrival::Queued(self.wait_for(id)),
                     decided => Arrival::Decided(decided),
                 }
             }
@@ -125,48 +125,48 @@
 
     fn wait_for(&mut self, id: u64) -> oneshot::Receiver<Dispatch> {
         let (tx, rx) = oneshot::channel();
-        self.waiting.insert(id, tx);
+        self.waiters.insert(id, tx);
         rx
     }
 
     pub(crate) fn ended(&mut self, now: Millis, upstream: &Name, ending: RequestOutcome) {
         let dispatches = self.router.ended(now, upstream, ending);
-        self.tell_or_end(now, dispatches);
+        self.notify_waiters(now, dispatches);
     }
 
     pub(crate) fn tick(&mut self, now: Millis) {
         let dispatches = self.router.tick(now);
-        self.tell_or_end(now, dispatches);
+        self.notify_waiters(now, dispatches);
     }
 
     /// Tells those who wait. A dispatch to a caller that has gone gives its slot back.
-    fn tell_or_end(&mut self, now: Millis, mut dispatches: Vec<Dispatch>) {
+    fn notify_waiters(&mut self, now: Millis, mut dispatches: Vec<Dispatch>) {
         while !dispatches.is_empty() {
-            let unheard = self.tell(dispatches);
+            let undelivered = self.notify(dispatches);
             dispatches = Vec::new();
-            for upstream in unheard {
+            for upstream in undelivered {
                 dispatches.extend(self.router.ended(now, &upstream, RequestOutcome::Abandoned));
             }
         }
     }
 
-    fn tell(&mut self, dispatches: Vec<Dispatch>) -> Vec<Name> {
-        let mut unheard = Vec::new();
+    fn notify(&mut self, dispatches: Vec<Dispatch>) -> Vec<Name> {
+        let mut undelivered = Vec::new();
         for dispatch in dispatches {
             let id = match &dispatch {
                 Dispatch::Send { id, .. } | Dispatch::Refuse { id, .. } => *id,
             };
-            let heard = self.waiting.remove(&id).map(|tx| tx.send(dispatch.clone()));
-            if let (Dispatch::Send { upstream, .. }, Some(Err(_)) | None) = (dispatch, heard) {
-                unheard.push(upstream);
+            let delivered = self.waiters.remove(&id).map(|tx| tx.send(dispatch.clone()));
+            if let (Dispatch::Send { upstream, .. }, Some(Err(_)) | None) = (dispatch, delivered) {
+                undelivered.push(upstream);
             }
         }
-        unheard
+        undelivered
     }
 
     /// Takes out a request whose caller has gone.
-    pub(crate) fn give_up(&mut self, id: u64) {
-        self.waiting.remove(&id);
+    pub(crate) fn cancel(&mut self, id: u64) {
+        self.waiters.remove(&id);
         self.router.cancel(id);
     }
 
@@ -178,20 +178,20 @@
         self.router.demand(now, epoch, id)
     }
 
-    pub(crate) fn take_loan(&mut self, now: Millis, loan: &Loan) {
+    pub(crate) fn apply_loan(&mut self, now: Millis, loan: &Loan) {
         self.router.loans_mut().take(now, loan);
         let dispatches = self.router.tick(now);
-        self.tell_or_end(now, dispatches);
+        self.notify_waiters(now, dispatches);
     }
 
     /// Counts callers' requests from their arrival to their answer.
-    pub(crate) fn count(&mut self, by: i32) {
-        self.under_way = self.under_way.saturating_add_signed(by);
+    pub(crate) fn adjust_in_progress(&mut self, by: i32) {
+        self.in_progress = self.in_progress.saturating_add_signed(by);
     }
 
     /// Gives how many callers' requests are under way.
-    pub(crate) fn under_way(&self) -> u32 {
-        self.under_way
+    pub(crate) fn in_progress(&self) -> u32 {
+        self.in_progress
     }
 
     pub(crate) fn router(&self) -> &Router {
--- a/components/instance/src/server.rs
+++ b/components/instance/src/server.rs
@@ -22,9 +22,9 @@
 use crate::worker_calls::make_calls;
 
 /// How often a failed core or a stop is looked for.
-const WATCH_EVERY: Wait = Wait(200);
+const WATCH_INTERVAL: Wait = Wait(200);
 /// How long handing over the epoch and leadership may take in a planned stop.
-const HAND_OVER: Wait = Wait(2_000);
+const MAX_HANDOVER_WAIT: Wait = Wait(2_000);
 
 /// Runs an instance until it is told to stop.
 ///
@@ -42,7 +42,7 @@
     let core = Core::new(Parts {
         replica: disk.replica,
         cell: disk.cell,
-        in_force_file: disk.in_force_file,
+        active_config_file: disk.active_config_file,
         links,
         workers: calls_tx,
         shared: shared.clone(),
@@ -54,9 +54,10 @@
     spawn("workers", move || {
         runtime("workers").block_on(make_calls(calls_rx, platform, to_core));
     })?;
-    let front = shared.clone();
-    let served = runtime("servers")
-        .block_on(async move { serve(front, core_tx, callers, operators, stop, failed).await });
+    let server_shared = shared.clone();
+    let served = runtime("servers").block_on(async move {
+        serve(server_shared, core_tx, callers, operators, stop, failed).await
+    });
     let ended = core_thread.join();
     shared.journal.note(&kinds::INSTANCE_STOPPED, Subject::default(), "stopped");
     ended.map_err(|_| Error::Refused("the core has failed".into()))?;
@@ -114,12 +115,12 @@
     );
     shared.journal.note(&kinds::INSTANCE_STARTED, Subject::default(), text);
     while !stop.load(Ordering::SeqCst) && !failed.load(Ordering::SeqCst) {
-        sleep(WATCH_EVERY).await;
+        sleep(WATCH_INTERVAL).await;
     }
     if failed.load(Ordering::SeqCst) {
         return Err(Error::Refused("the disk has failed; the process stops".into()));
     }
-    wind_down(&shared, &core).await;
+    stop_gracefully(&shared, &core).await;
     http.stop(true).await;
     grpc.stop(true).await;
     // The core may have failed meanwhile.
@@ -129,18 +130,18 @@
 
 /// The planned stop: the balancer is told first, then the epoch and leadership are handed over,
 /// then nothing new is taken, and what runs is finished.
-async fn wind_down(shared: &Arc<Shared>, core: &Sender<Input>) {
+async fn stop_gracefully(shared: &Arc<Shared>, core: &Sender<Input>) {
     shared.journal.note(&kinds::INSTANCE_STOPPING, Subject::default(), "told to stop");
     shared.set_stopping();
     sleep(Wait(shared.settings.drain_notice.0 as u32)).await;
     let (tx, rx) = oneshot::channel();
-    if core.send(Input::HandOver { tx }).is_ok() {
+    if core.send(Input::Handover { tx }).is_ok() {
         // Without a leader there is nobody to hand over to.
-        let _ = ntex::time::timeout(HAND_OVER, rx).await;
+        let _ = ntex::time::timeout(MAX_HANDOVER_WAIT, rx).await;
     }
     shared.set_closed();
     let latest = shared.now() + shared.settings.longest_request;
-    while lock(&shared.plane).under_way() > 0 && shared.now() < latest {
-        sleep(WATCH_EVERY).await;
+    while lock(&shared.request_plane).in_progress() > 0 && shared.now() < latest {
+        sleep(WATCH_INTERVAL).await;
     }
 }
--- a/components/instance/src/shared.rs
+++ b/components/instance/src/shared.rs
@@ -12,7 +12,7 @@
 use model::{InstanceId, Name, ZoneId};
 use settings::Instance;
 
-use crate::request_plane::Plane;
+use crate::request_plane::RequestPlane;
 
 /// Locks a mutex whatever became of the thread that held it before.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -30,7 +30,7 @@
     /// How long things took.
     pub(crate) timings: Mutex<Timings>,
     /// The request plane.
-    pub(crate) plane: Mutex<Plane>,
+    pub(crate) request_plane: Mutex<RequestPlane>,
     config: RwLock<Arc<ConfigVersion>>,
     addresses: RwLock<Arc<BTreeMap<Name, SocketAddr>>>,
     drained: RwLock<Arc<BTreeSet<Name>>>,
@@ -42,12 +42,12 @@
 impl Shared {
     pub(crate) fn new(settings: Instance) -> Shared {
         let journal = Journal::new(settings.own.id.0.clone());
-        let plane = Plane::new(&settings);
+        let request_plane = RequestPlane::new(&settings);
         Shared {
             clock: SystemClock::default(),
             journal,
             timings: Mutex::default(),
-            plane: Mutex::new(plane),
+            request_plane: Mutex::new(request_plane),
             config: RwLock::default(),
             addresses: RwLock::default(),
             drained: RwLock::default(),
@@ -79,7 +79,7 @@
     pub(crate) fn put_config(&self, config: ConfigVersion) {
         let mut current = self.config.write().unwrap_or_else(|e| e.into_inner());
         if config.version >= current.version {
-            lock(&self.plane).configure(&config.config);
+            lock(&self.request_plane).configure(&config.config);
             *current = Arc::new(config);
         }
     }
--- a/components/instance/src/status.rs
+++ b/components/instance/src/status.rs
@@ -58,10 +58,10 @@
 
 fn upstreams(core: &Core) -> Vec<pb::UpstreamView> {
     let now = core.now();
-    let plane = lock(&core.shared.plane);
+    let request_plane = lock(&core.shared.request_plane);
     let zone = core.shared.zone().as_str();
     let mut views = Vec::new();
-    for (target, share) in plane.router().targets(now) {
+    for (target, share) in request_plane.router().targets(now) {
         let state = match target.state {
             TargetState::Live => "live",
             TargetState::Leaving => "leaving",
--- a/components/instance/src/upstream_call.rs
+++ b/components/instance/src/upstream_call.rs
@@ -20,7 +20,7 @@
 const KEEP_ALIVE_SECONDS: u16 = 3;
 
 /// When a caller comes back after another zone could not be reached either.
-const PEER_COME_BACK: Millis = Millis(1_000);
+const PEER_RETRY_AFTER: Millis = Millis(1_000);
 
 /// A request on its way.
 #[derive(Clone)]
@@ -100,7 +100,7 @@
 }
 
 /// The most connections to one instance of another zone.
-const PEER_CONNECTIONS: usize = 32;
+const MAX_PEER_CONNECTIONS: usize = 32;
 
 impl Clients {
     /// Passes a request on to an instance of another zone and gives its answer.
@@ -111,17 +111,17 @@
         req: &Outgoing,
         timeout: Millis,
     ) -> Answer {
-        let come_back =
-            Answer::Refused { reason: Refusal::NoUpstream, retry_after: PEER_COME_BACK };
-        let client = match self.get(name, PEER_CONNECTIONS).await {
+        let refused =
+            Answer::Refused { reason: Refusal::NoUpstream, retry_after: PEER_RETRY_AFTER };
+        let client = match self.get(name, MAX_PEER_CONNECTIONS).await {
             Ok(client) => client,
-            Err(_) => return come_back,
+            Err(_) => return refused,
         };
         let wait = Wait(timeout.0.max(1) as u32);
         let call = async {
             match send(&client, addr, req, wait).await {
-                Ok(response) => judge_peer(response, &req.id).await,
-                Err(e) if never_sent(&e) => come_back,
+                Ok(response) => read_peer_response(response, &req.id).await,
+                Err(e) if never_sent(&e) => refused,
                 Err(e) => Answer::MayHaveRun(e.to_string().into()),
             }
         };
@@ -130,13 +130,13 @@
     }
 }
 
-async fn judge_peer(response: ClientResponse, id: &str) -> Answer {
-    if text(&response, headers::REQUEST) != Some(id) {
+async fn read_peer_response(response: ClientResponse, id: &str) -> Answer {
+    if header_text(&response, headers::REQUEST) != Some(id) {
         return Answer::MayHaveRun("another zone answered another request".into());
     }
-    let outcome = text(&response, headers::OUTCOME).unwrap_or_default().to_string();
-    let length = text(&response, headers::BODY_LENGTH).and_then(|l| l.parse::<usize>().ok());
-    let retry_after = text(&response, headers::RETRY_AFTER_MS).and_then(|l| l.parse().ok());
+    let outcome = header_text(&response, headers::OUTCOME).unwrap_or_default().to_string();
+    let length = header_text(&response, headers::BODY_LENGTH).and_then(|l| l.parse::<usize>().ok());
+    let retry_after = header_text(&response, headers::RETRY_AFTER_MS).and_then(|l| l.parse().ok());
     let body = response.body().limit(MAX_BODY_BYTES).await.map(|b| b.to_vec()).unwrap_or_default();
     if length != Some(body.len()) {
         return Answer::MayHaveRun("the answer from another zone is not whole".into());
@@ -146,7 +146,7 @@
         "done" => Answer::Done(body),
         "refused" => Answer::Refused {
             reason: Refusal::Overloaded,
-            retry_after: retry_after.map_or(PEER_COME_BACK, Millis),
+            retry_after: retry_after.map_or(PEER_RETRY_AFTER, Millis),
         },
         "failed" => Answer::Failed(reason()),
         _ => Answer::MayHaveRun(reason()),
@@ -172,7 +172,7 @@
 
 async fn exchange(client: &Client, addr: SocketAddr, req: &Outgoing, wait: Wait) -> CallEnd {
     match send(client, addr, req, wait).await {
-        Ok(response) => judge(response, &req.id).await,
+        Ok(response) => read_response(response, &req.id).await,
         Err(e) if never_sent(&e) => CallEnd::NotRun { leaving: false, connected: false },
         Err(e) => CallEnd::Broken(e.to_string().into()),
     }
@@ -184,20 +184,20 @@
     e.kind() == std::io::ErrorKind::ConnectionRefused
 }
 
-fn text<'a>(response: &'a ClientResponse, name: &str) -> Option<&'a str> {
+fn header_text<'a>(response: &'a ClientResponse, name: &str) -> Option<&'a str> {
     response.headers().get(name).and_then(|v| v.to_str().ok())
 }
 
-async fn judge(response: ClientResponse, id: &str) -> CallEnd {
-    if text(&response, headers::REQUEST) != Some(id) {
+async fn read_response(response: ClientResponse, id: &str) -> CallEnd {
+    if header_text(&response, headers::REQUEST) != Some(id) {
         return CallEnd::Crossed;
     }
-    if text(&response, headers::NOT_RUN).is_some() {
-        let leaving = text(&response, headers::LEAVING).is_some();
+    if header_text(&response, headers::NOT_RUN).is_some() {
+        let leaving = header_text(&response, headers::LEAVING).is_some();
         return CallEnd::NotRun { leaving, connected: true };
     }
-    let length = text(&response, headers::BODY_LENGTH).and_then(|l| l.parse::<usize>().ok());
-    let load = text(&response, headers::LOAD).and_then(|l| l.parse().ok());
+    let length = header_text(&response, headers::BODY_LENGTH).and_then(|l| l.parse::<usize>().ok());
+    let load = header_text(&response, headers::LOAD).and_then(|l| l.parse().ok());
     let status = response.status();
     let body = match response.body().limit(MAX_BODY_BYTES).await {
         Ok(body) => body.to_vec(),
--- a/components/instance/src/worker_calls.rs
+++ b/components/instance/src/worker_calls.rs
@@ -11,7 +11,7 @@
 use crate::core::{Input, WorkerCall};
 
 /// How often the platform is asked.
-const LIST_EVERY: Wait = Wait(1_000);
+const LIST_INTERVAL: Wait = Wait(1_000);
 
 /// Makes calls until the core ends.
 pub(crate) async fn make_calls(
@@ -49,6 +49,6 @@
         {
             return;
         }
-        sleep(LIST_EVERY).await;
+        sleep(LIST_INTERVAL).await;
     }
 }
--- a/components/instance/src/zone_role.rs
+++ b/components/instance/src/zone_role.rs
@@ -19,15 +19,15 @@
     id: InstanceId,
     longest_request: Millis,
     /// Grants up to this one belong to an earlier process of this instance.
-    old_grants: Option<u64>,
+    ignored_grants: Option<u64>,
     allocator: Option<Allocator>,
     broker: Option<Broker>,
     lease: ZoneLease,
-    pledges: PeerCommitments,
-    pledged: OwnCommitment,
+    peer_commitments: PeerCommitments,
+    own_commitment: OwnCommitment,
     /// The zone's other instances.
-    mates: BTreeSet<InstanceId>,
-    right: Authority,
+    zone_peers: BTreeSet<InstanceId>,
+    authority: Authority,
     list: PlatformList,
     stopping: bool,
     /// Whether operators have taken this instance out of use.
@@ -38,21 +38,21 @@
     pub(crate) fn new(
         zone: ZoneId,
         id: InstanceId,
-        mates: BTreeSet<InstanceId>,
+        zone_peers: BTreeSet<InstanceId>,
         longest_request: Millis,
     ) -> ZoneRole {
         ZoneRole {
             zone,
             id,
             longest_request,
-            old_grants: None,
+            ignored_grants: None,
             allocator: None,
             broker: None,
             lease: ZoneLease::default(),
-            pledges: PeerCommitments::default(),
-            pledged: OwnCommitment::default(),
-            mates,
-            right: Authority::RenewOnly,
+            peer_commitments: PeerCommitments::default(),
+            own_commitment: OwnCommitment::default(),
+            zone_peers,
+            authority: Authority::RenewOnly,
             list: PlatformList::default(),
             stopping: false,
             drained: false,
@@ -61,7 +61,7 @@
 
     /// Notes that this process knows the cell as of `applied`: it acts on later grants only.
     pub(crate) fn ready(&mut self, applied: u64) {
-        self.old_grants.get_or_insert(applied);
+        self.ignored_grants.get_or_insert(applied);
     }
 
     pub(crate) fn allocator(&self) -> Option<&Allocator> {
@@ -73,21 +73,21 @@
     }
 
     /// Gives what to tell the leader, if this instance takes part.
-    pub(crate) fn ask(&self, now: Millis, applied: u64) -> Option<ZoneRequest> {
-        let takes_part = self.old_grants.is_some() && !self.stopping && !self.drained;
+    pub(crate) fn request(&self, now: Millis, applied: u64) -> Option<ZoneRequest> {
+        let takes_part = self.ignored_grants.is_some() && !self.stopping && !self.drained;
         takes_part.then(|| ZoneRequest {
             zone: self.zone.clone(),
             epoch: self.epoch(),
             asked_at: now,
             applied,
-            capacity: self.room(),
+            capacity: self.capacity(),
         })
     }
 
     /// An instance that does not allocate knows only what the platform lists.
-    fn room(&self) -> Option<(Size, Size)> {
-        let room = self.allocator.as_ref()?.free_capacity();
-        Some((room.free, room.largest))
+    fn capacity(&self) -> Option<(Size, Size)> {
+        let capacity = self.allocator.as_ref()?.free_capacity();
+        Some((capacity.free, capacity.largest))
     }
 
     pub(crate) fn confirm(&mut self, epoch: Epoch, asked_at: Millis, last_index: u64) {
@@ -96,17 +96,18 @@
 
     /// Tells whether this instance allocates and wants its zone's others not to, because it does not
     /// hear from the leader.
-    pub(crate) fn wants_pledges(&self) -> bool {
-        self.allocator.is_some() && self.right != Authority::Full
+    pub(crate) fn needs_commitments(&self) -> bool {
+        self.allocator.is_some() && self.authority != Authority::Full
     }
 
     /// Gives a pledge not to allocate for a while to the allocator of `epoch`, if that is the newest.
-    pub(crate) fn pledge(&mut self, now: Millis, epoch: Epoch, cell: &Cell) -> bool {
-        self.allocator.is_none() && self.pledged.give(now, epoch, cell.zones.epoch(&self.zone))
+    pub(crate) fn give_commitment(&mut self, now: Millis, epoch: Epoch, cell: &Cell) -> bool {
+        self.allocator.is_none()
+            && self.own_commitment.give(now, epoch, cell.zones.epoch(&self.zone))
     }
 
-    pub(crate) fn take_pledge(&mut self, epoch: Epoch, mate: &InstanceId, asked_at: Millis) {
-        self.pledges.note(epoch, mate, asked_at);
+    pub(crate) fn record_commitment(&mut self, epoch: Epoch, peer: &InstanceId, asked_at: Millis) {
+        self.peer_commitments.note(epoch, peer, asked_at);
     }
 
     /// Looks at the zone's grant, and starts or ends allocating. A grant that was not acted on
@@ -115,17 +116,17 @@
         let grant = cell.zones.grant(&self.zone);
         let epoch = grant.map_or(Epoch(0), |g| g.epoch);
         let mine = grant.is_some_and(|g| g.holder.as_ref() == Some(&self.id));
-        let fresh = self.old_grants.is_some_and(|old| epoch.0 > old);
+        let fresh = self.ignored_grants.is_some_and(|old| epoch.0 > old);
         if !mine || !fresh || self.stopping || self.drained {
             self.allocator = None;
             self.broker = None;
             return;
         }
-        if self.epoch() == epoch || !self.pledged.is_over(now) {
+        if self.epoch() == epoch || !self.own_commitment.is_over(now) {
             return;
         }
-        self.right = Authority::RenewOnly;
-        let mut instances = self.mates.clone();
+        self.authority = Authority::RenewOnly;
+        let mut instances = self.zone_peers.clone();
         instances.insert(self.id.clone());
         self.broker = Some(Broker::new(now, epoch, self.longest_request, instances));
         let cfg = allocator_config(self.zone.clone(), epoch, cell);
@@ -154,8 +155,8 @@
         let zone = self.zone.clone();
         let Some(allocator) = &mut self.allocator else { return };
         match command {
-            Command::CreateJob { spec, .. } => take(allocator, now, cell.jobs.get(&spec.name)),
-            Command::MoveShare { job, .. } => take(allocator, now, cell.jobs.get(job)),
+            Command::CreateJob { spec, .. } => apply_job(allocator, now, cell.jobs.get(&spec.name)),
+            Command::MoveShare { job, .. } => apply_job(allocator, now, cell.jobs.get(job)),
             Command::CancelJob { name } => allocator.remove_job(now, name),
             Command::EndTasks { zone: z, ended, .. } if *z == zone => {
                 allocator.on_tasks_ended(ended)
@@ -184,16 +185,16 @@
         self.follow_grant(now, cell);
         let Some(allocator) = &mut self.allocator else { return (Vec::new(), None) };
         let epoch = allocator.epoch();
-        let right = if self.lease.holds(now, epoch, cell.applied) {
+        let authority = if self.lease.holds(now, epoch, cell.applied) {
             Authority::Full
-        } else if self.pledges.hold(now, epoch, &self.mates) {
+        } else if self.peer_commitments.hold(now, epoch, &self.zone_peers) {
             Authority::ZoneOnly
         } else {
             Authority::RenewOnly
         };
-        let changed = (right != self.right).then_some(right);
-        self.right = right;
-        (allocator.tick(now, right), changed)
+        let changed = (authority != self.authority).then_some(authority);
+        self.authority = authority;
+        (allocator.tick(now, authority), changed)
     }
 
     pub(crate) fn on_reply(
@@ -211,7 +212,7 @@
 
     /// Answers a demand. Without the right to start tasks another instance may lend already.
     pub(crate) fn lend(&mut self, now: Millis, demand: &Demand, pool: u32) -> Option<Loan> {
-        if self.right == Authority::RenewOnly {
+        if self.authority == Authority::RenewOnly {
             return None;
         }
         self.broker.as_mut()?.answer(now, demand, pool)
@@ -220,24 +221,24 @@
     /// Takes in whether operators have taken this instance out of use; it gives the zone back then.
     pub(crate) fn set_drained(&mut self, drained: bool) -> Option<Command> {
         self.drained = drained;
-        if drained { self.give_back() } else { None }
+        if drained { self.release_epoch() } else { None }
     }
 
     /// Gives the zone back for a planned stop.
     pub(crate) fn release(&mut self) -> Option<Command> {
         self.stopping = true;
-        self.give_back()
+        self.release_epoch()
     }
 
     /// Ends allocating at once: nothing is told to workers from now on.
-    fn give_back(&mut self) -> Option<Command> {
+    fn release_epoch(&mut self) -> Option<Command> {
         let epoch = self.allocator.take()?.epoch();
         self.broker = None;
         Some(Command::ReleaseEpoch { zone: self.zone.clone(), epoch })
     }
 }
 
-fn take(allocator: &mut Allocator, now: Millis, job: Option<&Job>) {
+fn apply_job(allocator: &mut Allocator, now: Millis, job: Option<&Job>) {
     if let Some(job) = job {
         allocator.apply_job(now, job);
     }
--- a/components/instance/src/zone_supervisor.rs
+++ b/components/instance/src/zone_supervisor.rs
@@ -16,7 +16,7 @@
 /// nothing.
 const MOVE_GRACE: Millis = Millis(10_000);
 /// The most shares that are moved at once.
-const MOVES_AT_ONCE: usize = 200;
+const MAX_MOVES_PER_CHECK: usize = 200;
 
 /// What the leader does about a question.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -30,21 +30,21 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct ZoneView {
+struct ZoneState {
     /// When the leader last confirmed the zone's allocator.
     confirmed_at: Option<Millis>,
     /// When any instance of the zone was last heard.
-    heard_at: Option<Millis>,
-    room: Option<ZoneCapacity>,
+    last_contact: Option<Millis>,
+    capacity: Option<ZoneCapacity>,
     /// The log's index of a grant or move that is not applied yet.
-    changing_until: u64,
+    pending_until: u64,
 }
 
 /// What a leader knows of the zones. It begins anew with each term.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneSupervisor {
     leads_since: Millis,
-    zones: BTreeMap<ZoneId, ZoneView>,
+    zones: BTreeMap<ZoneId, ZoneState>,
 }
 
 impl ZoneSupervisor {
@@ -64,17 +64,17 @@
     ) -> ZoneDecision {
         let leads_since = self.leads_since;
         let view = self.zones.entry(request.zone.clone()).or_default();
-        view.heard_at = Some(now);
+        view.last_contact = Some(now);
         if let Some((free, largest)) = request.capacity {
-            view.room = Some(ZoneCapacity { zone: request.zone.clone(), free, largest });
+            view.capacity = Some(ZoneCapacity { zone: request.zone.clone(), free, largest });
         }
-        if view.changing_until > cell.applied {
+        if view.pending_until > cell.applied {
             return ZoneDecision::Wait;
         }
         let grant = cell.zones.grant(&request.zone);
         let epoch = cell.zones.epoch(&request.zone);
         let holder = grant.and_then(|g| g.holder.as_ref());
-        let give = |to: &InstanceId| {
+        let grant_to = |to: &InstanceId| {
             let (zone, holder) = (request.zone.clone(), to.clone());
             ZoneDecision::Grant(Command::GrantEpoch { zone, holder, after: epoch })
         };
@@ -82,18 +82,18 @@
             return ZoneDecision::Wait;
         }
         match holder {
-            None => give(from),
+            None => grant_to(from),
             Some(h) if h == from && request.epoch == epoch => {
                 view.confirmed_at = Some(now);
                 ZoneDecision::Confirm
             }
             // The holder's process has restarted: it is the only one that could have acted on it.
-            Some(h) if h == from && request.epoch == Epoch(0) => give(from),
+            Some(h) if h == from && request.epoch == Epoch(0) => grant_to(from),
             Some(h) if h == from => ZoneDecision::Wait,
             Some(_) => {
                 let since = view.confirmed_at.unwrap_or(leads_since).max(leads_since);
                 match now.since(since) > takeover_delay() {
-                    true => give(from),
+                    true => grant_to(from),
                     false => ZoneDecision::Wait,
                 }
             }
@@ -104,12 +104,12 @@
     /// until that is applied.
     pub fn record_proposal(&mut self, zone: &ZoneId, index: u64) {
         let view = self.zones.entry(zone.clone()).or_default();
-        view.changing_until = view.changing_until.max(index);
+        view.pending_until = view.pending_until.max(index);
     }
 
     /// Gives the rooms of all zones that have told theirs.
     pub fn zone_capacities(&self) -> Vec<ZoneCapacity> {
-        self.zones.values().filter_map(|v| v.room.clone()).collect()
+        self.zones.values().filter_map(|v| v.capacity.clone()).collect()
     }
 
     /// Gives the moves of movable tasks out of zones that have been silent for so long that their
@@ -118,33 +118,36 @@
         let worker_lease = cell.config.config.worker_lease;
         let silent = |zone: &ZoneId| {
             let view = self.zones.get(zone);
-            let heard = view.and_then(|v| v.heard_at.max(v.confirmed_at));
-            let since = heard.unwrap_or(self.leads_since).max(self.leads_since);
-            let changing = view.is_some_and(|v| v.changing_until > cell.applied);
+            let last_contact = view.and_then(|v| v.last_contact.max(v.confirmed_at));
+            let since = last_contact.unwrap_or(self.leads_since).max(self.leads_since);
+            let changing = view.is_some_and(|v| v.pending_until > cell.applied);
             !changing && now.since(since) > share_move_delay(worker_lease) + MOVE_GRACE
         };
-        let cut_off: Vec<&ZoneId> =
+        let silent_zones: Vec<&ZoneId> =
             cell.zones.iter().map(|(z, _)| z).filter(|z| silent(z)).collect();
-        if cut_off.is_empty() {
+        if silent_zones.is_empty() {
             return Vec::new();
         }
-        let rooms: Vec<ZoneCapacity> =
-            self.zone_capacities().into_iter().filter(|r| !cut_off.contains(&&r.zone)).collect();
+        let capacities: Vec<ZoneCapacity> = self
+            .zone_capacities()
+            .into_iter()
+            .filter(|r| !silent_zones.contains(&&r.zone))
+            .collect();
         let movable = cell.jobs.values().filter(|j| j.state == JobState::Active && j.spec.may_move);
         let mut moves = Vec::new();
         for job in movable {
             for (i, share) in job.shares.iter().enumerate() {
-                let over = share.tasks().all(|t| job.has_ended(t));
-                if over || !cut_off.contains(&&share.zone) {
+                let finished = share.tasks().all(|t| job.has_ended(t));
+                if finished || !silent_zones.contains(&&share.zone) {
                     continue;
                 }
-                if let Some(to) = choose_target_zone(&job.spec, &share.zone, &rooms) {
+                if let Some(to) = choose_target_zone(&job.spec, &share.zone, &capacities) {
                     let (name, from) = (job.spec.name.clone(), share.zone.clone());
                     moves.push(Command::MoveShare { job: name, share: i as u32, from, to });
                 }
             }
         }
-        moves.truncate(MOVES_AT_ONCE);
+        moves.truncate(MAX_MOVES_PER_CHECK);
         moves
     }
 }
--- a/components/instance/tests/zone_supervisor.rs
+++ b/components/instance/tests/zone_supervisor.rs
@@ -35,7 +35,7 @@
 
 /// One question after the zone was granted to "a" under epoch 5 and confirmed at START: who asks,
 /// allocating under which epoch, how much later, and whether it is granted, confirmed or put off.
-macro_rules! asks {
+macro_rules! requests {
     ($($name:ident: $who:expr, $epoch:expr, $later:expr => $reply:ident;)*) => {$(
         #[test]
         fn $name() {
@@ -49,7 +49,7 @@
     )*};
 }
 
-asks! {
+requests! {
     the_holder_goes_on: "a", 5, Millis(500) => Confirm;
     the_holder_goes_on_after_a_long_silence: "a", 5, Millis(60_000) => Confirm;
     the_holder_restarted_gets_a_new_epoch: "a", 0, Millis(500) => Grant;
@@ -174,6 +174,6 @@
 #[test]
 fn rooms_are_those_last_told() {
     let (_, supervisor, _) = cut_off_cell();
-    let rooms: Vec<ZoneCapacity> = supervisor.zone_capacities();
-    assert_eq!(rooms.len(), 1);
+    let capacities: Vec<ZoneCapacity> = supervisor.zone_capacities();
+    assert_eq!(capacities.len(), 1);
 }
