--- a/components/cell/src/assign.rs
+++ b/components/cell/src/assign.rs
@@ -1,27 +1,27 @@
-//! Which zone gets which tasks of a new job.
+//! Assignment of a new job's tasks to zones.
 
 use model::{JobKind, JobSpec, Size, Spread, ZoneId};
 
 use crate::Share;
 
-/// What a zone last told of itself. It is only a hint: the zone's own ledger decides.
+/// The capacity that a zone last reported. It is only a hint: the zone's own ledger is authoritative.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneCapacity {
     /// The zone.
     pub zone: ZoneId,
-    /// What is free over all its workers, less what waits.
+    /// The free capacity of all its workers, minus the demand of its waiting tasks.
     pub free: Size,
-    /// The largest worker, empty.
+    /// The total capacity of its largest worker.
     pub largest: Size,
 }
 
-/// Cuts a job over the zones. Gives `None` if no zone is known.
+/// Splits a job over the zones. Returns `None` if no zone is known.
 pub fn assign(spec: &JobSpec, capacities: &[ZoneCapacity]) -> Option<Vec<Share>> {
     if capacities.is_empty() {
         return None;
     }
     let mut ranked: Vec<&ZoneCapacity> = capacities.iter().collect();
-    // Zones with a worker large enough first, the roomiest of them first.
+    // Zones with a sufficiently large worker come first, ordered by free capacity.
     ranked.sort_by_key(|r| {
         let fits = spec.size.fits(&r.largest);
         (!fits, std::cmp::Reverse(spec.size.copies_in(&r.free)), r.zone.clone())
@@ -39,7 +39,7 @@
     Some(split_by_capacity(spec, &ranked))
 }
 
-/// Gives the roomiest zone other than `from` for tasks that must move.
+/// Returns the zone with the most free capacity other than `from`, for tasks that must move.
 pub fn choose_target_zone(
     spec: &JobSpec,
     from: &ZoneId,
@@ -68,7 +68,8 @@
     shares
 }
 
-/// Fills the roomiest zone first; what fits nowhere now waits in the roomiest one.
+/// Fills the zones in order of free capacity. Tasks that fit nowhere wait in the last zone that
+/// received a share, or in the first zone if none did.
 fn split_by_capacity(spec: &JobSpec, ranked: &[&ZoneCapacity]) -> Vec<Share> {
     let mut shares: Vec<Share> = Vec::new();
     let mut first = 0;
--- a/components/cell/src/claims.rs
+++ b/components/cell/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of not repeatable requests: the durable memory behind "at most once".
+//! Claims of non-repeatable requests: the durable record that provides at-most-once execution.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,13 +8,15 @@
 
 use crate::{Claim, ClaimReply};
 
-/// How long a key can be used after the caller made it. Older keys are refused, because their
-/// claims are forgotten.
+/// How long a key can be used after the caller created it. Claims are dropped after this time, so
+/// older keys are rejected. A longer window retains more claims in the state; with a shorter one
+/// slow retries are rejected.
 pub const CLAIM_WINDOW: Millis = Millis(10 * 60 * 1000);
-/// How far a caller's clock may run ahead.
+/// The maximum time by which a caller's clock may run ahead. A greater value retains claims longer;
+/// a smaller one rejects callers with inaccurate clocks.
 pub const CLAIM_SKEW: Millis = Millis(60 * 1000);
 
-/// The claimed keys of the last [`CLAIM_WINDOW`].
+/// The keys claimed within the last [`CLAIM_WINDOW`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claims {
     issued: BTreeMap<RequestKey, Millis>,
@@ -22,8 +24,8 @@
 }
 
 impl Claims {
-    /// Claims a key at the cell's time `now`. Only the first claim of a key is granted; a key may
-    /// not be made younger by a resend that states another time.
+    /// Claims a key at the cell's time `now`. Only the first claim of a key is granted; a retry that
+    /// states a later time does not extend the key's validity.
     pub fn claim(&mut self, now: Millis, claim: &Claim) -> ClaimReply {
         self.remove_expired(now);
         if self.issued.contains_key(&claim.key) {
@@ -40,12 +42,12 @@
         ClaimReply::Granted
     }
 
-    /// Gives how many claims are kept.
+    /// Returns the number of retained claims.
     pub fn len(&self) -> usize {
         self.issued.len()
     }
 
-    /// Tells whether no claim is kept.
+    /// Returns whether no claim is retained.
     pub fn is_empty(&self) -> bool {
         self.issued.is_empty()
     }
--- a/components/cell/src/command.rs
+++ b/components/cell/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands that change the cell state, and the replies to them.
+//! The commands that change the cell state, and their replies.
 
 use std::sync::Arc;
 
@@ -8,34 +8,34 @@
 
 use crate::Share;
 
-/// A command with the key of the call that made it and the leader's wall clock.
+/// A command with the request key of its call and the wall clock of the proposing leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// The caller's key; a resend with the same key gets the first answer.
+    /// The caller's key; a retry with the same key gets the first reply.
     pub key: Option<RequestKey>,
-    /// The proposing leader's wall clock; the cell's own time is the highest one seen.
+    /// The proposing leader's wall clock; the cell's time is the highest value seen.
     pub at: Millis,
-    /// What is to change.
+    /// The change to make.
     pub command: Command,
 }
 
-/// What is to change.
+/// A change to the cell state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Replaces the configuration if `base` is the version in force.
+    /// Replaces the configuration if `base` is the active version.
     ApplyConfig {
-        /// The version the change was made from.
+        /// The version that the change is based on.
         base: u64,
-        /// The configuration as its author wrote it.
+        /// The configuration text as its author wrote it.
         text: Arc<str>,
-        /// The same, read and checked.
+        /// The parsed and validated configuration.
         config: CellConfig,
     },
     /// Adds a job.
     CreateJob {
         /// The job.
         spec: JobSpec,
-        /// Which zone holds which of its tasks.
+        /// The assignment of its tasks to zones.
         shares: Vec<Share>,
     },
     /// Cancels a job.
@@ -43,82 +43,82 @@
         /// The job.
         name: JobName,
     },
-    /// Takes an instance or upstream out of use, or back in.
+    /// Drains an instance or upstream, or ends the drain.
     Drain {
-        /// Its name.
+        /// The name of the instance or upstream.
         target: Name,
-        /// Whether it goes out.
+        /// Whether the target is drained.
         on: bool,
     },
-    /// Makes an instance the only allocator of a zone.
+    /// Makes an instance the sole allocator of a zone.
     GrantEpoch {
         /// The zone.
         zone: ZoneId,
         /// The instance.
         holder: InstanceId,
-        /// The epoch this grant follows on, so that racing grants get one winner.
+        /// The epoch that this grant replaces. Of several concurrent grants only the first matches.
         after: Epoch,
     },
-    /// Gives a zone's epoch back, for a planned stop.
+    /// Releases a zone's epoch: for a planned stop, or when its holder is drained.
     ReleaseEpoch {
         /// The zone.
         zone: ZoneId,
         /// The epoch.
         epoch: Epoch,
     },
-    /// Gives one share of a job to another zone.
+    /// Moves one share of a job to another zone.
     MoveShare {
         /// The job.
         job: JobName,
-        /// Which of its shares.
+        /// The index of the share.
         share: u32,
-        /// The zone that holds it now.
+        /// The zone that currently holds the share.
         from: ZoneId,
-        /// The zone that gets it.
+        /// The zone that receives the share.
         to: ZoneId,
     },
     /// Reports tasks that ended.
     EndTasks {
-        /// The zone that reports.
+        /// The reporting zone.
         zone: ZoneId,
-        /// Its epoch.
+        /// The zone's epoch.
         epoch: Epoch,
-        /// The tasks.
+        /// The ended tasks.
         ended: Vec<TaskEnd>,
     },
-    /// Marks not repeatable tasks as started, before they are.
+    /// Marks non-repeatable tasks as started, before they start.
     ClaimTasks {
         /// The zone that will start them.
         zone: ZoneId,
-        /// Its epoch.
+        /// The zone's epoch.
         epoch: Epoch,
         /// The tasks.
         tasks: Vec<TaskId>,
     },
-    /// Claims callers' not repeatable requests, before they are sent on.
+    /// Claims callers' non-repeatable requests, before they are sent to an upstream.
     ClaimRequests {
-        /// The claims, in the order of their replies.
+        /// The claims; the replies have the same order.
         claims: Vec<Claim>,
     },
 }
 
-/// One claim of a not repeatable request.
+/// A claim of a non-repeatable request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// The caller's key.
     pub key: RequestKey,
-    /// When the caller first made it, by the wall clock.
+    /// The wall-clock time at which the caller created the key.
     pub issued: Millis,
 }
 
 /// How a task ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskOutcome {
-    /// It ran to its end.
+    /// The task completed.
     Done,
-    /// It failed and is not tried again.
+    /// The task failed and is not retried.
     Failed(Name),
-    /// It may have run and may not be repeated.
+    /// The task may have run and may not be repeated.
     MayHaveRun(Name),
 }
 
@@ -131,34 +131,34 @@
     pub outcome: TaskOutcome,
 }
 
-/// What became of a claim.
+/// The result of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimReply {
-    /// It is the first: the request may be sent on.
+    /// This is the first claim of the key: the request may be sent.
     Granted,
-    /// The key was claimed before: the request may have run.
+    /// The key was already claimed: the request may have run.
     Taken,
-    /// The key is older than claims are kept: the request may have run.
+    /// The key is older than the retention period of claims: the request may have run.
     TooOld,
-    /// The key lies in the future: the caller's clock is wrong, the request did not run.
+    /// The key's time lies in the future: the caller's clock is wrong and the request did not run.
     TooNew,
 }
 
-/// What became of a command.
+/// The result of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// It is in force from `version` on.
+    /// The command took effect.
     Accepted {
-        /// The log's index of the change.
+        /// The log index of the change.
         version: u64,
     },
-    /// Another change came first.
+    /// The command conflicts with the current state, for example with an earlier change.
     Conflict {
-        /// The version in force, or zero where there is none.
+        /// The current version, or zero where there is none.
         version: u64,
-        /// What stands in the way.
+        /// The reason for the conflict.
         reason: Name,
     },
-    /// What became of each claim.
+    /// The result of each claim.
     Claims(Vec<ClaimReply>),
 }
--- a/components/cell/src/jobs.rs
+++ b/components/cell/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs as the cell knows them: what was declared, which zone holds which tasks, what ended.
+//! Jobs in the cell state: the declaration, the assignment of tasks to zones, and the ended tasks.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,35 +8,36 @@
 
 use crate::{Share, TaskOutcome};
 
-/// How far a job has come.
+/// The lifecycle state of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// Its tasks run or wait.
+    /// Tasks of the job run or wait.
     Active,
-    /// Its operator cancelled it.
+    /// An operator cancelled the job.
     Cancelled,
-    /// All its tasks ended.
+    /// All tasks of the job ended.
     Ended,
 }
 
-/// A job.
+/// A job and its progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// What was declared.
+    /// The declaration.
     pub spec: JobSpec,
-    /// The version that created it.
+    /// The log index of the command that created the job.
     pub version: u64,
-    /// The cell's time then.
+    /// The cell's time at the creation.
     pub created: Millis,
-    /// Which zone holds which tasks.
+    /// The assignment of the tasks to zones.
     pub shares: Vec<Share>,
-    /// How far it has come.
+    /// The lifecycle state.
     pub state: JobState,
-    /// The tasks that ran to their end. Small numbers, so that 18,000 jobs a day stay cheap.
+    /// The indices of the completed tasks. They are small integers to keep the memory use low at
+    /// 18,000 jobs a day.
     pub done: BTreeSet<u32>,
-    /// The tasks that ended otherwise.
+    /// The tasks that ended without completing, with the reason.
     pub failed: BTreeMap<u32, Name>,
-    /// The not repeatable tasks that may have been started.
+    /// The non-repeatable tasks that may have been started.
     pub claimed: BTreeSet<u32>,
 }
 
@@ -54,17 +55,17 @@
         }
     }
 
-    /// Gives the zone that holds task `index`.
+    /// Returns the zone that holds task `index`.
     pub fn zone_of(&self, index: u32) -> Option<&ZoneId> {
         self.shares.iter().find(|s| s.holds(index)).map(|s| &s.zone)
     }
 
-    /// Tells whether task `index` has ended.
+    /// Returns whether task `index` has ended.
     pub fn has_ended(&self, index: u32) -> bool {
         self.done.contains(&index) || self.failed.contains_key(&index)
     }
 
-    /// Tells whether the job still wants anything to run.
+    /// Returns whether the job still has tasks to run.
     pub fn is_active(&self) -> bool {
         self.state == JobState::Active
     }
--- a/components/cell/src/lib.rs
+++ b/components/cell/src/lib.rs
@@ -1,7 +1,7 @@
-//! The cell state: what all zones agree on, changed only by committed commands.
+//! The cell state: the data that all zones share, changed only by committed commands.
 //!
-//! [`Cell::apply`] is pure and the same on every instance. docs/design/cell.md says what belongs
-//! here and what is left to the zones.
+//! [`Cell::apply`] is deterministic and has no side effects, so every instance computes the same
+//! state. docs/design/cell.md defines what belongs here and what is left to the zones.
 
 mod assign;
 mod claims;
--- a/components/cell/src/reply_cache.rs
+++ b/components/cell/src/reply_cache.rs
@@ -1,4 +1,4 @@
-//! The first answers to keyed calls, so that a resend after a lost answer gets the same one.
+//! A cache of the first replies to keyed calls, so that a retry after a lost reply gets the same one.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,8 +7,8 @@
 
 use crate::Reply;
 
-/// How many answers are kept. A forgotten key is harmless: compare-and-set and unique names refuse
-/// a change that was made already.
+/// The number of cached replies. An evicted key is harmless: compare-and-set and unique names reject
+/// a change that was already made.
 const MAX_CACHED_REPLIES: usize = 20_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -17,20 +17,20 @@
     reply: Reply,
 }
 
-/// Answers by key, oldest forgotten first.
+/// The cached replies by key; the oldest are evicted first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ReplyCache {
     by_key: BTreeMap<RequestKey, CachedReply>,
     order: VecDeque<RequestKey>,
 }
 
-/// What is known of a key.
+/// The result of looking up a key.
 pub(crate) enum Lookup {
-    /// Nothing.
+    /// The key is not in the cache.
     New,
-    /// The same command was answered with this.
+    /// The reply to an earlier call with the same key and command.
     Cached(Reply),
-    /// The key belongs to another command.
+    /// The key was used for a different command.
     DifferentCommand,
 }
 
--- a/components/cell/src/state.rs
+++ b/components/cell/src/state.rs
@@ -11,45 +11,46 @@
 use crate::reply_cache::{Lookup, ReplyCache};
 use crate::{Claims, Command, Job, JobState, Proposal, Reply, Share, TaskEnd, Zones};
 
-/// How many ended jobs are kept for operators to look at.
+/// The number of ended jobs that are retained for operators to inspect. A greater number enlarges
+/// the state and its snapshots; with a smaller one ended jobs disappear from view sooner.
 const MAX_ENDED_JOBS: usize = 2_000;
 
-/// The configuration in force and the version that put it there.
+/// A configuration and its version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigVersion {
-    /// The log's index of the change; zero for the defaults.
+    /// The log index of the change; zero for the defaults.
     pub version: u64,
-    /// As its author wrote it.
+    /// The text as its author wrote it.
     pub text: Arc<str>,
-    /// Read and checked.
+    /// The parsed and validated configuration.
     pub config: Arc<CellConfig>,
 }
 
-/// Everything the zones agree on.
+/// The replicated state that all zones share.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cell {
-    /// The last applied command's index.
+    /// The index of the last applied log entry.
     pub applied: u64,
-    /// The highest wall clock any leader proposed with.
+    /// The highest wall-clock time of any applied proposal.
     pub time: Millis,
-    /// The configuration in force.
+    /// The active configuration.
     pub config: ConfigVersion,
-    /// All jobs that are active, and the last ended ones.
+    /// The active jobs and the most recently ended ones.
     pub jobs: BTreeMap<JobName, Job>,
-    /// Who allocates where.
+    /// The allocator of each zone.
     pub zones: Zones,
-    /// The claimed not repeatable requests.
+    /// The claimed non-repeatable requests.
     pub claims: Claims,
-    /// Instances and upstreams out of use.
+    /// The drained instances and upstreams.
     pub drained: BTreeSet<Name>,
-    /// Counts changes to jobs, so that a zone can tell whether to look again.
+    /// The index of the last change to any job, so that a zone can detect changes.
     pub jobs_version: u64,
     ended_jobs: VecDeque<JobName>,
     reply_cache: ReplyCache,
 }
 
 impl Cell {
-    /// Applies one committed command.
+    /// Applies a committed command and returns its reply.
     pub fn apply(&mut self, index: u64, proposal: &Proposal) -> Reply {
         self.applied = index;
         self.time = self.time.max(proposal.at);
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Notes an entry that carries no command.
+    /// Records an entry that carries no command as applied.
     pub fn skip(&mut self, index: u64) {
         self.applied = index;
     }
@@ -78,10 +79,10 @@
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// Reads a state back. Nothing at all stands for the first, empty state.
+    /// Decodes a state. Empty input decodes to the initial, empty state.
     ///
     /// # Errors
-    /// [`Error::Decode`] if the bytes are not a state.
+    /// Returns [`Error::Decode`] if the bytes are not a valid state.
     pub fn decode(bytes: &[u8]) -> Result<Cell, Error> {
         if bytes.is_empty() {
             return Ok(Cell::default());
@@ -257,9 +258,9 @@
     Reply::Conflict { version, reason: reason.into() }
 }
 
-/// Tells a resend from another call under the same key.
+/// Returns a hash that distinguishes a retry from a different call with the same key.
 fn command_fingerprint(command: &Command) -> u32 {
-    // The shares are chosen by whoever leads, so they are no part of what the caller asked for.
+    // The leader chooses the shares, so they are not part of the caller's request.
     let requested = match command {
         Command::CreateJob { spec, .. } => {
             Command::CreateJob { spec: spec.clone(), shares: Vec::new() }
--- a/components/cell/src/zones.rs
+++ b/components/cell/src/zones.rs
@@ -1,16 +1,16 @@
-//! Which instance allocates for which zone.
+//! The allocating instance of each zone.
 
 use std::collections::BTreeMap;
 
 use model::{Epoch, InstanceId, ZoneId};
 use serde::{Deserialize, Serialize};
 
-/// The right to allocate for a zone.
+/// The permission to allocate for a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Its number; it grows with every grant in the cell.
+    /// The epoch; it increases with every grant in the cell.
     pub epoch: Epoch,
-    /// Who holds it; nobody after a release.
+    /// The instance that holds the grant; `None` after a release.
     pub holder: Option<InstanceId>,
 }
 
@@ -21,22 +21,22 @@
 }
 
 impl Zones {
-    /// Gives a zone's grant.
+    /// Returns a zone's grant.
     pub fn grant(&self, zone: &ZoneId) -> Option<&Grant> {
         self.grants.get(zone)
     }
 
-    /// Gives a zone's epoch, zero before its first grant.
+    /// Returns a zone's epoch, zero before its first grant.
     pub fn epoch(&self, zone: &ZoneId) -> Epoch {
         self.grants.get(zone).map_or(Epoch(0), |g| g.epoch)
     }
 
-    /// Gives every zone that ever had a grant.
+    /// Returns an iterator over the zones that ever had a grant.
     pub fn iter(&self) -> impl Iterator<Item = (&ZoneId, &Grant)> {
         self.grants.iter()
     }
 
-    /// Tells whether `epoch` is the zone's newest.
+    /// Returns whether `epoch` is the zone's newest epoch.
     pub fn is_current(&self, zone: &ZoneId, epoch: Epoch) -> bool {
         self.epoch(zone) == epoch && epoch > Epoch(0)
     }
--- a/components/cell/tests/commands.rs
+++ b/components/cell/tests/commands.rs
@@ -1,4 +1,4 @@
-//! Operators' races and resends, claims, epochs, and that a state reads back as it was.
+//! Tests of concurrent changes and retries by operators, claims, epochs, and the state's encoding.
 
 use std::sync::Arc;
 
@@ -47,7 +47,7 @@
     assert_eq!(cell.config.config.upstream_slots, 8);
 }
 
-/// After how a first call a resend is made.
+/// Defines tests that retry a call after the given events.
 macro_rules! resends {
     ($($name:ident: $between:expr;)*) => {$(
         #[test]
@@ -58,7 +58,7 @@
             let between: fn(Cell) -> Cell = $between;
             let mut cell = between(cell);
             assert_eq!(cell.apply(90, &call), first, "a resend gets the first answer");
-            // A resend under another leader's clock is still the same call.
+            // A retry under another leader's clock is still the same call.
             let later = Proposal { at: Millis(NOW.0 + 1), ..call };
             assert_eq!(cell.apply(91, &later), first);
         }
@@ -108,7 +108,7 @@
     assert_eq!(cell.jobs[&"a".into()].zone_of(0), Some(&ZoneId::from("za")));
 }
 
-/// Claims of one key at different times: (issued, cell's time) and the reply wanted.
+/// Defines tests that claim one key at different times: (issued, cell's time) => expected reply.
 macro_rules! claims {
     ($($name:ident: [$(($issued:expr, $at:expr) => $reply:ident),*];)*) => {$(
         #[test]
@@ -250,8 +250,8 @@
 }
 
 proptest! {
-    /// Every instance gets the same state, whether it applies all commands or starts from a
-    /// snapshot between any two.
+    /// Every instance computes the same state, whether it applies all commands or starts from a
+    /// snapshot taken between any two of them.
     #[test]
     fn a_snapshot_between_any_two_commands_changes_nothing(
         commands in proptest::collection::vec((any_command(), 0u64..4), 1..60),
@@ -271,7 +271,7 @@
         prop_assert_eq!(whole, cut);
     }
 
-    /// The configuration's version only grows, whatever is proposed.
+    /// The configuration's version never decreases, whatever is proposed.
     #[test]
     fn the_configuration_never_goes_back(
         commands in proptest::collection::vec(any_command(), 1..80),
