--- a/components/cell/src/state.rs
+++ b/components/cell/src/state.rs
@@ -134,7 +134,7 @@
 
     fn create_job(&mut self, index: u64, spec: &JobSpec, shares: &[Share]) -> Reply {
         if let Some(job) = self.jobs.get(&spec.name) {
-            return conflict(job.version, "a job of this name is there already");
+            return conflict(job.version, "a job of this name already exists");
         }
         let job = Job::new(spec.clone(), shares.to_vec(), index, self.time);
         self.jobs.insert(spec.name.clone(), job);
@@ -180,7 +180,7 @@
 
     fn release_epoch(&mut self, index: u64, zone: &ZoneId, epoch: Epoch) -> Reply {
         if !self.zones.is_current(zone, epoch) {
-            return conflict(self.zones.epoch(zone).0, "the epoch is not the zone's newest");
+            return conflict(self.zones.epoch(zone).0, "the epoch is not the zone's current epoch");
         }
         self.zones.release(zone);
         Reply::Accepted { version: index }
@@ -208,7 +208,7 @@
 
     fn end_tasks(&mut self, index: u64, zone: &ZoneId, epoch: Epoch, ended: &[TaskEnd]) -> Reply {
         if !self.zones.is_current(zone, epoch) {
-            return conflict(self.zones.epoch(zone).0, "the epoch is not the zone's newest");
+            return conflict(self.zones.epoch(zone).0, "the epoch is not the zone's current epoch");
         }
         for end in ended {
             let Some(job) = self.jobs.get_mut(&end.task.job) else { continue };
@@ -233,7 +233,7 @@
         tasks: &[model::TaskId],
     ) -> Reply {
         if !self.zones.is_current(zone, epoch) {
-            return conflict(self.zones.epoch(zone).0, "the epoch is not the zone's newest");
+            return conflict(self.zones.epoch(zone).0, "the epoch is not the zone's current epoch");
         }
         for task in tasks {
             let Some(job) = self.jobs.get_mut(&task.job) else { continue };
--- a/components/instance/src/active_config.rs
+++ b/components/instance/src/active_config.rs
@@ -1,7 +1,7 @@
-//! What an instance with a disk keeps besides the log: the configuration that it has put in force.
+//! The file in which an instance with a disk stores its active configuration, next to the log.
 //!
-//! After a restart the log's entries are there, but not which of them are committed. A cut-off
-//! instance must not fall back behind what it had in force, so that is saved before it is used.
+//! After a restart the log holds the entries but not the commit index. A disconnected instance must
+//! not return to an older configuration, so the configuration is saved before it is used.
 
 use std::collections::BTreeSet;
 
@@ -10,16 +10,16 @@
 use model::Name;
 use serde::{Deserialize, Serialize};
 
-/// What was in force.
+/// The active configuration and the drained names.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ActiveConfig {
-    /// The configuration.
+    /// The configuration and its version.
     pub(crate) config: ConfigVersion,
-    /// What was out of use.
+    /// The drained instances and upstreams.
     pub(crate) drained: BTreeSet<Name>,
 }
 
-/// The file that holds it.
+/// The name of the file.
 pub(crate) const ACTIVE_CONFIG_FILE: &str = "in-force";
 
 impl ActiveConfig {
@@ -34,5 +34,5 @@
 }
 
 fn decode_error(e: postcard::Error) -> Error {
-    Error::Decode { what: "the configuration in force", reason: e.to_string() }
+    Error::Decode { what: "the active configuration", reason: e.to_string() }
 }
--- a/components/instance/src/callers.rs
+++ b/components/instance/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' requests: read, claimed if they may run once only, routed, answered.
+//! Handling of callers' requests: reading, claiming of non-repeatable ones, routing, responding.
 
 mod forwarding;
 mod guards;
@@ -32,12 +32,13 @@
 use crate::shared::{Shared, lock};
 use crate::upstream_call::{CallEnd, Clients, Outgoing};
 
-/// When callers come back to an instance that is not ready, stopping, or cut off from a key's home.
+/// The delay after which callers should retry with an instance that is not ready, is stopping, or
+/// cannot reach the leader to claim a key.
 const RETRY_AFTER: Millis = Millis(1_000);
-/// How many connections to an upstream an allocator needs.
+/// The number of connections to an upstream that an allocator needs.
 const ALLOCATOR_CONNECTIONS: u32 = 1;
 
-/// What the handlers on one thread share.
+/// The state that the request handlers of one thread share.
 #[derive(Clone)]
 pub(crate) struct CallerService {
     pub(crate) shared: Arc<Shared>,
@@ -45,7 +46,7 @@
     pub(crate) clients: Clients,
 }
 
-/// Tells the balancer whether to send callers here.
+/// Answers the balancer's health check: whether to send callers to this instance.
 pub(crate) async fn health(service: State<Rc<CallerService>>) -> HttpResponse {
     let shared = &service.shared;
     let accepts = shared.is_ready() && !shared.is_stopping() && !shared.is_drained();
@@ -55,7 +56,7 @@
     }
 }
 
-/// Serves one request.
+/// Handles one request.
 pub(crate) async fn run(
     service: State<Rc<CallerService>>,
     req: HttpRequest,
@@ -65,7 +66,7 @@
     let _counted = InProgressGuard::new(shared);
     let started = Instant::now();
     let longest = shared.settings.longest_request;
-    let whole = body.map_err(|e| format!("the body cannot be read whole: {e}"));
+    let whole = body.map_err(|e| format!("the body cannot be read completely: {e}"));
     let incoming = match whole.and_then(|body| read_request(&req, body, shared.now(), longest)) {
         Ok(incoming) => incoming,
         Err(fault) => {
@@ -90,7 +91,7 @@
         if !self.shared.is_ready() {
             return refused(Refusal::NotReady, RETRY_AFTER);
         }
-        // A request that was passed on was claimed where it came in.
+        // A forwarded request was already claimed by the instance that received it.
         if let Some(claim) = incoming.key.as_ref().filter(|_| !incoming.forwarded)
             && let Err(answer) = self.claim(incoming, claim).await
         {
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Claims the caller's key at its home, the cell, so that a resend to any instance is known.
+    /// Claims the caller's key in the cell state, so that a retry at any instance is recognised.
     async fn claim(&self, incoming: &Incoming, claim: &Claim) -> Result<(), Answer> {
         let (tx, rx) = oneshot::channel();
         let command = Command::ClaimRequests { claims: vec![claim.clone()] };
@@ -115,7 +116,7 @@
         let left = incoming.deadline.since(self.shared.now());
         let waited = ntex::time::timeout(Wait(left.0.max(1) as u32), rx).await;
         let Ok(Ok(Outcome::Applied(Reply::Claims(replies)))) = waited else {
-            // Whether or not the claim is there: the request was not sent and will not be.
+            // The claim may have been recorded, but the request was not sent and will not be.
             return Err(unreachable());
         };
         match replies.first() {
@@ -123,14 +124,15 @@
             Some(ClaimReply::TooNew) => Err(refused(Refusal::Malformed, RETRY_AFTER)),
             Some(ClaimReply::Taken) => Err(Answer::MayHaveRun("this key was used before".into())),
             Some(ClaimReply::TooOld) => {
-                Err(Answer::MayHaveRun("this key is older than keys are kept".into()))
+                Err(Answer::MayHaveRun("this key is older than the claim window".into()))
             }
             None => Err(unreachable()),
         }
     }
 
     /// Sends the request to upstreams of this zone until one has answered or none may be tried. Once
-    /// a try may have run, no refusal of a later one can say that the request did not.
+    /// an attempt may have run, the refusal of a later attempt does not prove that the request did not
+    /// run, so the result of the earlier attempt is returned.
     async fn route(&self, incoming: &Incoming) -> Answer {
         let mut tried = BTreeSet::new();
         let mut may_have_run: Option<Answer> = None;
@@ -155,7 +157,7 @@
                     refused(Refusal::Overloaded, RETRY_AFTER)
                 }
                 CallEnd::Crossed => {
-                    let reason = "the upstream answered another request".into();
+                    let reason = "the upstream answered a different request".into();
                     may_have_run = Some(Answer::MayHaveRun(reason));
                     refused(Refusal::Overloaded, RETRY_AFTER)
                 }
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Gives an upstream that is to take the request, once there is one, or the refusal.
+    /// Waits for an upstream for the request and returns it, or the refusal.
     async fn find_upstream(&self, info: RequestInfo) -> Result<Name, Answer> {
         let (now, id, class) = (self.shared.now(), info.id, info.class);
         let arrival = lock(&self.shared.request_plane).arrive(now, info);
@@ -227,12 +229,12 @@
             _ => RequestOutcome::Failed,
         };
         if matches!(end, CallEnd::NotRun { leaving: true, connected: true }) {
-            // The core tells the zone's other instances.
+            // The core notifies the zone's other instances.
             let _ = self.core.send(Input::Leaving(slot.upstream.clone()));
         }
         if matches!(end, CallEnd::Crossed) {
             self.clients.close(&slot.upstream);
-            let text = format!("{} answered another request", slot.upstream);
+            let text = format!("{} answered a different request", slot.upstream);
             let subject = Subject::request(&incoming.id);
             self.shared.journal.note(&kinds::ANSWER_CROSSED, subject, text);
         }
@@ -272,8 +274,8 @@
     }
 }
 
-/// Gives how many connections for requests this instance may have to one upstream. One of its part is
-/// kept for the calls of an allocator, which any instance may become.
+/// Returns the maximum number of request connections from this instance to one upstream. One
+/// connection of its part is reserved for the calls of an allocator, since any instance may become one.
 fn request_connections(config: &CellConfig) -> u32 {
     let part = config.upstream_connections / config.instances_per_zone.max(1);
     part.saturating_sub(ALLOCATOR_CONNECTIONS).max(1)
--- a/components/instance/src/callers/forwarding.rs
+++ b/components/instance/src/callers/forwarding.rs
@@ -1,4 +1,4 @@
-//! Passing requests on to other zones.
+//! Forwarding of requests to other zones.
 
 use std::net::SocketAddr;
 
@@ -9,11 +9,11 @@
 use super::CallerService;
 use super::incoming::Incoming;
 
-/// How many instances of other zones a request is offered to.
+/// The maximum number of instances of other zones to which a request is forwarded.
 const MAX_FORWARD_ATTEMPTS: usize = 2;
 
 impl CallerService {
-    /// Offers a request that this zone refused to instances of other zones.
+    /// Forwards a request that this zone refused to instances of other zones.
     pub(super) async fn forward(&self, incoming: &Incoming) -> Option<Answer> {
         let zone = self.shared.zone();
         let peers = &self.shared.settings.peers;
@@ -22,7 +22,7 @@
             .filter(|p| p.zone != *zone)
             .map(|p| (p.id.0.clone(), p.callers))
             .collect();
-        // Each request begins elsewhere, so that no instance gets all that is passed on.
+        // Each request starts at a different instance, so that no instance receives all of them.
         let begin = self.shared.journal.clock().next() as usize % others.len().max(1);
         others.rotate_left(begin);
         for (name, addr) in others.into_iter().take(MAX_FORWARD_ATTEMPTS) {
@@ -38,8 +38,8 @@
     }
 }
 
-/// Only a request that surely did not run and that another zone may have room for goes there, and
-/// only once.
+/// Returns whether a request may be forwarded: it certainly did not run, another zone may have
+/// capacity for it, and it was not forwarded before.
 pub(super) fn may_forward(incoming: &Incoming, reason: Refusal) -> bool {
     !incoming.forwarded && matches!(reason, Refusal::Overloaded | Refusal::NoUpstream)
 }
--- a/components/instance/src/callers/guards.rs
+++ b/components/instance/src/callers/guards.rs
@@ -1,4 +1,4 @@
-//! What is given back when the handler of a request ends, also when its caller has gone.
+//! Guards that release resources when a request's handler ends, even if its caller has disconnected.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use crate::shared::{Shared, lock};
 
-/// Counts a request from its arrival to its answer, however it ends.
+/// Counts a request as in progress from its arrival to its response, however it ends.
 pub(super) struct InProgressGuard(Arc<Shared>);
 
 impl InProgressGuard {
@@ -23,7 +23,7 @@
     }
 }
 
-/// Gives a slot back, also when the caller has gone and the handler is dropped.
+/// Releases a slot, even if the caller has disconnected and the handler is dropped.
 pub(super) struct SlotGuard {
     pub(super) shared: Arc<Shared>,
     pub(super) upstream: Name,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Takes a request out of the queue when its caller has gone.
+/// Removes a request from the queue if its caller has disconnected.
 pub(super) struct QueueGuard {
     pub(super) shared: Arc<Shared>,
     pub(super) id: u64,
--- a/components/instance/src/callers/incoming.rs
+++ b/components/instance/src/callers/incoming.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's request.
+//! Parsing of callers' requests.
 
 use cell::Claim;
 use clock::Millis;
@@ -7,15 +7,15 @@
 use ntex::web::HttpRequest;
 use upstream::headers;
 
-/// How long a request may take whose caller does not say.
+/// The maximum duration of a request whose caller states none.
 const DEFAULT_DEADLINE: Millis = Millis(10_000);
-/// The longest id or key of a caller, in bytes.
+/// The maximum length of a caller's id or key in bytes.
 pub(super) const MAX_ID_BYTES: usize = 200;
 
 /// A request as its caller sent it.
 pub(super) struct Incoming {
     pub(super) id: String,
-    /// The id that the caller itself gave; another one only if the request was passed on.
+    /// The id that the caller chose. It differs from `id` only if the request was forwarded.
     pub(super) caller: String,
     pub(super) class: Class,
     pub(super) deadline: Millis,
@@ -26,12 +26,12 @@
     pub(super) body: Bytes,
 }
 
-/// Gives a header's text, if there is any.
+/// Returns the text of a header, if present.
 pub(super) fn header_text<'a>(req: &'a HttpRequest, name: &str) -> Option<&'a str> {
     req.headers().get(name).and_then(|v| v.to_str().ok())
 }
 
-/// Reads a request. The error is the fault, in words for its caller.
+/// Reads a request. The error is a message for its caller.
 pub(super) fn read_request(
     req: &HttpRequest,
     body: Bytes,
@@ -50,7 +50,7 @@
     let wait = match header_text(req, headers::DEADLINE) {
         None => DEFAULT_DEADLINE,
         Some(s) => {
-            Millis(s.parse().map_err(|_| format!("{} is no number of ms", headers::DEADLINE))?)
+            Millis(s.parse().map_err(|_| format!("{} is not a number of ms", headers::DEADLINE))?)
         }
     };
     let repeatable = match header_text(req, headers::REPEATABLE) {
@@ -78,13 +78,13 @@
     let key = header_text(req, headers::KEY).unwrap_or_default();
     if key.is_empty() || key.len() > MAX_ID_BYTES {
         return Err(format!(
-            "a not repeatable request needs {} of 1 to {MAX_ID_BYTES} bytes",
+            "a non-repeatable request needs {} of 1 to {MAX_ID_BYTES} bytes",
             headers::KEY
         ));
     }
     let issued = header_text(req, headers::KEY_ISSUED_AT).and_then(|s| s.parse().ok());
     let issued = issued.ok_or_else(|| {
-        format!("a not repeatable request needs {}, when its key was made", headers::KEY_ISSUED_AT)
+        format!("a non-repeatable request needs {}, when its key was made", headers::KEY_ISSUED_AT)
     })?;
     Ok(Claim { key: RequestKey::from(key), issued: Millis(issued) })
 }
--- a/components/instance/src/callers/responses.rs
+++ b/components/instance/src/callers/responses.rs
@@ -1,4 +1,4 @@
-//! Answers as callers get them.
+//! HTTP responses to callers.
 
 use model::{Answer, Refusal};
 use ntex::http::StatusCode;
@@ -7,7 +7,7 @@
 
 use super::incoming::MAX_ID_BYTES;
 
-/// Writes the answer to a request.
+/// Builds the response to a request.
 pub(super) fn respond(id: &str, answer: Answer) -> HttpResponse {
     let (status, outcome) = match &answer {
         Answer::Done(_) => (StatusCode::OK, "done"),
@@ -31,7 +31,7 @@
     response.header(headers::BODY_LENGTH, body.len().to_string()).body(body)
 }
 
-/// Writes the answer to a request that cannot be read; `fault` is for its caller.
+/// Builds the response to a malformed request; `fault` is a message for its caller.
 pub(super) fn malformed(id: &str, fault: &str) -> HttpResponse {
     let mut response = HttpResponse::build(StatusCode::BAD_REQUEST);
     response.header(headers::OUTCOME, "refused");
--- a/components/instance/src/core.rs
+++ b/components/instance/src/core.rs
@@ -1,5 +1,5 @@
-//! The core: the one thread that owns the cell state and the zone's part, and takes in inputs one
-//! after the other. Whatever a batch of inputs changed is synced once, and only then acted on.
+//! The core: the thread that owns the cell state and the zone role and processes inputs
+//! sequentially. The changes of a batch of inputs are synced to disk once before they take effect.
 
 mod apply;
 mod changes;
@@ -36,41 +36,42 @@
 use crate::zone_role::ZoneRole;
 use crate::zone_supervisor::ZoneSupervisor;
 
-/// How often time passes for the pure parts.
+/// The interval at which the components that are driven by time advance.
 const TICK_INTERVAL: Millis = Millis(20);
-/// How often a process that has started asks for the copies that the one before it kept.
+/// The maximum number of requests by a started process for the event copies that its zone's other
+/// instances keep.
 const MAX_COPY_REQUESTS: u32 = 20;
-/// How many inputs are taken in between two syncs at the most.
+/// The maximum number of inputs that are processed between two syncs.
 const MAX_BATCH_INPUTS: usize = 4_096;
-/// How many entries the log may hold before it is replaced by a snapshot.
+/// The number of log entries after which the log is compacted into a snapshot.
 const COMPACT_AFTER_ENTRIES: usize = 2_000;
 
-/// A question about the core's state, answered on its thread.
+/// A query on the core's state that runs on the core's thread.
 pub(crate) type Query = Box<dyn FnOnce(&Core) + Send>;
 
-/// What the core takes in.
+/// An input of the core.
 pub(crate) enum Input {
     /// A message from another instance.
     Packet(Packet<Message>),
-    /// A change that a call on this instance asks for.
+    /// A change requested by a call on this instance.
     Change { change: Change, tx: oneshot::Sender<Outcome> },
-    /// A read that must hold every change accepted before it.
+    /// A read that must reflect every change accepted before it.
     Read { tx: oneshot::Sender<bool> },
-    /// A question about the state.
+    /// A query on the state.
     Query(Query),
-    /// A worker's answer.
+    /// A worker's reply.
     WorkerReply { epoch: Epoch, worker: Name, seq: u64, reply: Result<SyncReply> },
-    /// The platform's list.
+    /// The platform's list of workers.
     List(PlatformList),
-    /// An upstream told this instance that it is leaving.
+    /// An upstream announced to this instance that it is leaving.
     Leaving(Name),
-    /// Give up the epoch and leadership, for a planned stop.
+    /// Releases the epoch and leadership for a planned stop.
     Handover { tx: oneshot::Sender<()> },
-    /// End the thread.
+    /// Ends the thread.
     Stop,
 }
 
-/// A call to a worker, for the thread that makes it.
+/// A call to a worker, made by the thread for worker calls.
 #[derive(Debug)]
 pub(crate) struct WorkerCall {
     pub(crate) epoch: Epoch,
@@ -98,13 +99,13 @@
     self_messages: Vec<Message>,
     handing_over: Option<oneshot::Sender<()>>,
     last_leader: Option<InstanceId>,
-    /// How often the zone's other instances are still asked for the events that they keep.
+    /// The remaining number of requests to the zone's other instances for the events that they keep.
     copy_requests_left: u32,
-    /// Counts what was synced, for figures.
+    /// The number of synced records, for the metrics.
     pub(crate) synced: u64,
 }
 
-/// What the core is made of.
+/// The components of the core.
 pub(crate) struct Parts {
     pub(crate) shared: Arc<Shared>,
     pub(crate) replica: Replica,
@@ -115,10 +116,10 @@
 }
 
 impl Core {
-    /// Joins the parts and puts in force what was in force before a restart.
+    /// Creates the core and activates the configuration that was active before a restart.
     ///
     /// # Errors
-    /// If what was saved does not read back.
+    /// Returns an error if the saved configuration cannot be read.
     pub(crate) fn new(parts: Parts) -> Result<Core> {
         let Parts { shared, replica, cell, links, workers, active_config_file } = parts;
         let settings = &shared.settings;
@@ -242,7 +243,7 @@
         self.reads.settle(now, self.cell.applied);
     }
 
-    /// Whoever waits for a leader that is gone gets the final answer now.
+    /// Completes the changes forwarded to a leader that has changed: their outcome is unknown.
     fn handle_leader_change(&mut self) {
         let leader = self.leader();
         if leader != self.last_leader {
@@ -255,15 +256,15 @@
         match action {
             Action::Sync { worker, addr, req, timeout } => {
                 let call = WorkerCall { epoch: req.epoch, worker, addr, req, timeout };
-                // The thread that makes calls ends only with the process.
+                // The thread for worker calls ends only with the process.
                 let _ = self.workers.send(call);
             }
             Action::Propose(command) => self.request_change(now, command),
-            Action::Event(note) => self.log_allocator_event(note),
+            Action::Event(event) => self.log_allocator_event(event),
         }
     }
 
-    /// Syncs what changed and acts on it, until nothing follows any more.
+    /// Syncs changes and applies what was committed, until nothing further is committed.
     fn sync_and_apply(&mut self) -> Result<()> {
         loop {
             let ahead = self.replica.take_ready_before_sync();
@@ -297,7 +298,7 @@
         Ok(())
     }
 
-    /// Refuses the links to these instances, for tests of cut links.
+    /// Refuses the links to these instances, for tests of network partitions.
     pub(crate) fn refuse_links(&self, peers: std::collections::BTreeSet<InstanceId>) {
         self.links.set_refused_peers(peers);
     }
--- a/components/instance/src/core/apply.rs
+++ b/components/instance/src/core/apply.rs
@@ -1,4 +1,4 @@
-//! What follows from committed entries: the cell state, the zone's part, the configuration in force.
+//! Applies committed entries to the cell state, the zone role and the active configuration.
 
 use cell::{Cell, Command, Proposal, Reply};
 use consensus::{Committed, Flushed, Notice, Payload, Role};
@@ -41,9 +41,9 @@
         let now = self.now();
         let requester = self.proposed_changes.take(index, term).unwrap_or(Requester::Nobody);
         let Ok(proposal) = postcard::from_bytes::<Proposal>(data) else {
-            // Every instance skips an entry that it cannot read, so that all stay the same.
+            // Every instance skips an entry that cannot be decoded, so that their states stay equal.
             self.cell.skip(index);
-            let reason = "the command cannot be read".into();
+            let reason = "the command cannot be decoded".into();
             return self.answer(requester, Outcome::Invalid { reason });
         };
         let active = self.active_jobs_of(&proposal.command);
@@ -60,7 +60,7 @@
         self.answer(requester, Outcome::Applied(reply));
     }
 
-    /// Gives the active jobs of which a command ends tasks, so that it can be told which of them it ended.
+    /// Returns the active jobs whose tasks a command ends, to detect afterwards which jobs it ended.
     fn active_jobs_of(&self, command: &Command) -> Vec<model::JobName> {
         let Command::EndTasks { ended, .. } = command else { return Vec::new() };
         let active =
@@ -71,7 +71,7 @@
         names
     }
 
-    /// Notes what an accepted command did, on the leader only where all instances see the same.
+    /// Logs the effect of an accepted command. Effects that all instances see are logged by the leader only.
     fn log_applied(&self, command: &Command, index: u64, were_active: &[model::JobName]) {
         let journal = &self.shared.journal;
         if let Command::GrantEpoch { zone, holder, .. } = command
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Puts a newer configuration in force: saved first, then used.
+    /// Activates a newer configuration or a changed set of drained names. It is saved before it is used.
     fn activate_config(&mut self) -> Result<()> {
         let newer = self.cell.config.version > self.active_config.config.version;
         let behind = self.cell.config.version < self.active_config.config.version;
@@ -141,7 +141,7 @@
         let journal = &self.shared.journal;
         match notice {
             Notice::Bootstrapped => {
-                journal.note(&kinds::CELL_FOUNDED, Subject::default(), "the cell is founded");
+                journal.note(&kinds::CELL_FOUNDED, Subject::default(), "the cell is bootstrapped");
             }
             Notice::BecameLeader { term } => {
                 journal.note(&kinds::LEADER_ELECTED, Subject::default(), format!("term {term}"));
--- a/components/instance/src/core/changes.rs
+++ b/components/instance/src/core/changes.rs
@@ -1,4 +1,4 @@
-//! Changes that calls and the zone's allocator ask for: sent to the leader, or proposed by it.
+//! Changes requested by calls and by the zone's allocator: forwarded to the leader, or proposed by it.
 
 use cell::{Command, Proposal, Reply};
 use clock::{Millis, wall_now};
@@ -21,13 +21,13 @@
                 self.send(&leader, Message::Change { token, change });
             }
             None => {
-                // The caller may have gone.
+                // The caller may have disconnected.
                 let _ = tx.send(Outcome::Refused { reason: "no leader is known".into() });
             }
         }
     }
 
-    /// Asks the leader for a change whose outcome shows in the state.
+    /// Requests a change from the leader without waiting for the outcome, which shows in the state.
     pub(super) fn request_change(&mut self, now: Millis, command: Command) {
         let change = Change::Command { key: None, command };
         match self.leader() {
@@ -45,7 +45,7 @@
     pub(super) fn answer(&mut self, requester: Requester, outcome: Outcome) {
         match requester {
             Requester::Here(tx) => {
-                // The caller may have gone.
+                // The caller may have disconnected.
                 let _ = tx.send(outcome);
             }
             Requester::Peer(id, token) => self.send(&id, Message::Changed { token, outcome }),
@@ -74,20 +74,21 @@
         let data = match postcard::to_allocvec(&proposal) {
             Ok(data) => data,
             Err(e) => {
-                let reason = format!("cannot be written: {e}").into();
+                let reason = format!("the command cannot be encoded: {e}").into();
                 return self.answer(requester, Outcome::Invalid { reason });
             }
         };
         match self.replica.propose(now, data.into()) {
             Ok((index, term)) => self.proposed_changes.add(index, term, requester),
             Err(_) => {
-                let reason = "this instance does not lead, or too much is under way".into();
+                let reason =
+                    "this instance is not the leader, or too many changes are pending".into();
                 self.answer(requester, Outcome::Refused { reason });
             }
         }
     }
 
-    /// Chooses the zones of a new job, or says that it can never run.
+    /// Chooses the zones of a new job. Returns an error if no known worker can ever run it.
     fn choose_shares(&self, spec: &model::JobSpec) -> Result<Vec<cell::Share>, Outcome> {
         let rooms = self.zone_supervisor.zone_capacities();
         let all_known = rooms.len() == self.cell.zones.iter().count();
@@ -96,16 +97,16 @@
             let reason = format!("can never run: no worker of any zone holds {}", spec.size);
             return Err(Outcome::Invalid { reason: reason.into() });
         }
-        let none = Outcome::Refused { reason: "no zone has told its room yet".into() };
+        let none = Outcome::Refused { reason: "no zone has reported its capacity yet".into() };
         cell::assign(spec, &rooms).ok_or(none)
     }
 }
 
 fn change_error_reason(e: &ChangeError) -> Name {
     match e {
-        ChangeError::NotLeader(_) => "this instance does not lead".into(),
-        ChangeError::Busy => "an earlier change of members is under way".into(),
-        ChangeError::Unknown => "the instance has not been heard from".into(),
+        ChangeError::NotLeader(_) => "this instance is not the leader".into(),
+        ChangeError::Busy => "an earlier membership change is in progress".into(),
+        ChangeError::Unknown => "there was no contact with the instance".into(),
         ChangeError::NoVoter => "the change would leave no voter".into(),
     }
 }
--- a/components/instance/src/core/event_logging.rs
+++ b/components/instance/src/core/event_logging.rs
@@ -1,4 +1,4 @@
-//! What the core tells the journal.
+//! Events that the core writes to the journal.
 
 use events::{Subject, kinds};
 use zone::{AllocatorEvent, Authority};
@@ -16,7 +16,7 @@
                 journal.note(&kinds::ZONE_LEASE_HELD, Subject::default(), text);
             }
             Some(Authority::ZoneOnly) => {
-                let text = format!("zone {zone}: its other instances pledge not to allocate");
+                let text = format!("zone {zone}: its other instances commit not to allocate");
                 journal.note(&kinds::ZONE_LEASE_LOST, Subject::default(), text);
             }
             Some(Authority::RenewOnly) => {
@@ -27,11 +27,11 @@
         }
     }
 
-    pub(super) fn log_allocator_event(&self, note: AllocatorEvent) {
+    pub(super) fn log_allocator_event(&self, event: AllocatorEvent) {
         let journal = &self.shared.journal;
-        match note {
+        match event {
             AllocatorEvent::WorkerReported { worker, adopted } => {
-                let text = format!("{worker} reported, {adopted} of its tasks were taken over");
+                let text = format!("{worker} reported, {adopted} of its tasks were adopted");
                 journal.note(&kinds::WORKER_REPORTED, Subject::default(), text);
             }
             AllocatorEvent::WorkerLost { worker } => {
@@ -57,7 +57,7 @@
                 journal.note(&kinds::TASK_ENDED, Subject::task(&task), text);
             }
             AllocatorEvent::TaskEvicted { task } => {
-                journal.note(&kinds::TASK_EVICTED, Subject::task(&task), "makes room");
+                journal.note(&kinds::TASK_EVICTED, Subject::task(&task), "to free capacity");
             }
             AllocatorEvent::JobUnschedulable { job, reason } => {
                 journal.note(&kinds::JOB_HOPELESS, Subject::job(&job), reason.to_string());
--- a/components/instance/src/core/handover.rs
+++ b/components/instance/src/core/handover.rs
@@ -1,5 +1,5 @@
-//! Giving up the epoch and then leadership before a planned stop, so that nobody has to wait for
-//! either to run out.
+//! Releases the epoch and then leadership before a planned stop, so that no other instance has to
+//! wait for either to expire.
 
 use clock::Millis;
 use tokio::sync::oneshot;
@@ -14,7 +14,7 @@
         self.handing_over = Some(tx);
     }
 
-    /// Hands leadership over once the release of the epoch is in the log.
+    /// Hands over leadership once the release of the epoch is applied.
     pub(super) fn finish_handover(&mut self) {
         let Some(tx) = self.handing_over.take() else { return };
         let now = self.now();
@@ -28,7 +28,7 @@
         if let Ok(flushed) = self.replica.flush() {
             self.send_envelopes(flushed.messages);
         }
-        // The one who waits may have given up.
+        // The waiting task may have timed out.
         let _ = tx.send(());
     }
 }
--- a/components/instance/src/core/messages.rs
+++ b/components/instance/src/core/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between instances: taking them in and sending them.
+//! Processing and sending of messages between instances.
 
 use clock::Millis;
 use consensus::Envelope;
@@ -9,7 +9,7 @@
 use crate::pending_changes::Requester;
 use crate::shared::lock;
 
-/// How many events one message copies at the most.
+/// The maximum number of events that one message copies.
 pub(super) const MAX_COPIES_PER_MESSAGE: usize = 2_000;
 
 impl Core {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Sends to all instances of the zone but this one.
+    /// Sends a message to all instances of the zone except this one.
     pub(super) fn send_to_zone_peers(&mut self, message: &Message) {
         let own = self.shared.id().clone();
         for id in self.zone_instances().into_iter().filter(|id| *id != own) {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Sends to all instances of the zone, this one too.
+    /// Sends a message to all instances of the zone, including this one.
     pub(super) fn send_to_zone(&mut self, message: &Message) {
         for id in self.zone_instances() {
             self.send(&id, message.clone());
--- a/components/instance/src/core/reads.rs
+++ b/components/instance/src/core/reads.rs
@@ -1,5 +1,4 @@
-//! Reads that must hold every change accepted before them, and how far this process has to catch up
-//! before it is ready.
+//! Linearizable reads, and the log index up to which this process has to catch up before it is ready.
 
 use clock::Millis;
 use events::{Subject, kinds};
@@ -9,9 +8,9 @@
 use crate::message::Message;
 
 impl Core {
-    /// Gives the entry up to which a state holds every accepted change, if this instance surely
-    /// leads. What is committed in a batch of inputs is applied only at its end, so that this may lie
-    /// ahead of the state.
+    /// Returns the index up to which a state holds every accepted change, if this instance certainly
+    /// leads. Entries committed during a batch of inputs are applied only at its end, so the index may
+    /// be ahead of the state.
     pub(super) fn confirmed_index(&self, now: Millis) -> Option<u64> {
         let node = self.replica.node();
         node.holds_lease(now).then(|| node.commit())
@@ -22,7 +21,7 @@
             Some(leader) if leader == *self.shared.id() => match self.confirmed_index(now) {
                 Some(index) => self.reads.wait_for(index, tx),
                 None => {
-                    // The caller may have gone.
+                    // The caller may have disconnected.
                     let _ = tx.send(false);
                 }
             },
@@ -36,8 +35,8 @@
         }
     }
 
-    /// Asks the leader how far the log is committed. Only an answer to this process's own question
-    /// tells that; a heartbeat may be late, or come from a leader that does not know yet.
+    /// Requests the commit index from the leader. Only a reply to this process's own request is
+    /// reliable; a heartbeat may be delayed, or come from a leader that does not know the index yet.
     pub(super) fn request_barrier(&mut self, now: Millis) {
         match self.leader() {
             Some(leader) if leader == *self.shared.id() => {
--- a/components/instance/src/core/timers.rs
+++ b/components/instance/src/core/timers.rs
@@ -1,19 +1,19 @@
-//! What the core does regularly, and when it is next due.
+//! The periodic actions of the core and their next due times.
 
 use clock::Millis;
 
-/// How often a zone's instance talks to the leader.
+/// The interval at which an instance sends its zone's request to the leader.
 pub(super) const LEADER_REQUEST_INTERVAL: Millis = Millis(500);
-/// How often an instance tells the broker what it needs.
+/// The interval at which an instance reports its slot demand to the broker.
 pub(super) const DEMAND_INTERVAL: Millis = Millis(100);
-/// How often an instance's events are copied to the others of its zone.
+/// The interval at which an instance's events are copied to the other instances of its zone.
 pub(super) const COPY_INTERVAL: Millis = Millis(200);
-/// How often the leader looks for zones that are cut off.
+/// The interval at which the leader checks for silent zones.
 pub(super) const MOVE_CHECK_INTERVAL: Millis = Millis(1_000);
-/// How often an instance that has not caught up asks how far it has to.
+/// The interval at which an instance that has not caught up requests the commit index.
 pub(super) const BARRIER_INTERVAL: Millis = Millis(100);
 
-/// When something regular is next due.
+/// The next due time of each periodic action.
 #[derive(Default)]
 pub(super) struct Timers {
     pub(super) leader_request: Millis,
@@ -24,7 +24,7 @@
     pub(super) barrier: Millis,
 }
 
-/// Tells whether something regular is due, and if so, notes when it is due again.
+/// Returns whether a periodic action is due, and if so, schedules the next one.
 pub(super) fn is_due(now: Millis, next: &mut Millis, every: Millis) -> bool {
     if now < *next {
         return false;
--- a/components/instance/src/core/upstreams.rs
+++ b/components/instance/src/core/upstreams.rs
@@ -1,4 +1,4 @@
-//! What the platform and the upstreams themselves say of which upstreams there are.
+//! Updates of the known upstreams, from the platform's list and from the upstreams themselves.
 
 use std::collections::BTreeMap;
 
--- a/components/instance/src/core/zone_messages.rs
+++ b/components/instance/src/core/zone_messages.rs
@@ -1,4 +1,4 @@
-//! What the instances of a zone tell each other and the leader, and what the leader grants zones.
+//! Messages among the instances of a zone and to the leader, and the leader's grants to zones.
 
 use cell::Command;
 use clock::Millis;
--- a/components/instance/src/disk.rs
+++ b/components/instance/src/disk.rs
@@ -1,4 +1,4 @@
-//! What an instance remembers from before its start.
+//! Restores an instance's state from its disk.
 
 use std::collections::BTreeSet;
 use std::path::PathBuf;
@@ -15,25 +15,25 @@
 use crate::active_config::ACTIVE_CONFIG_FILE;
 use crate::shared::Shared;
 
-/// What the disk gives back.
+/// The state restored from the disk.
 pub(crate) struct RestoredState {
     pub(crate) replica: Replica,
     pub(crate) cell: Cell,
-    /// Where the configuration in force is kept.
+    /// The path of the file that holds the active configuration.
     pub(crate) active_config_file: Option<PathBuf>,
 }
 
-/// Opens the disk, if there is one, and reads back what it remembers.
+/// Opens the disk, if there is one, and restores the state from it.
 ///
 /// # Errors
-/// If it cannot be used, or if what it remembers does not read back.
+/// Returns an error if the disk cannot be used or the stored state cannot be read.
 pub(crate) fn open_disk(shared: &Shared) -> Result<RestoredState> {
     let settings = &shared.settings;
     let mut rng = StdRng::seed_from_u64(settings.seed ^ u64::from(settings.own.addr.port()));
     let mut restored = Restored::default();
     let mut disk: Box<dyn Disk> = Box::new(MemoryDisk);
     let mut active_config_file = None;
-    // An instance without a disk is another one after each start.
+    // An instance without a disk gets a new incarnation with each start.
     let mut incarnation = clock::wall_now().0 ^ rng.random::<u64>();
     if let Some(path) = &settings.data_folder {
         let folder = DataFolder::open(path)?;
--- a/components/instance/src/figures.rs
+++ b/components/instance/src/figures.rs
@@ -1,11 +1,11 @@
-//! The figures that operators are shown.
+//! The figures (gauges) that the status call reports.
 
 use metrics::Figure;
 
 use crate::core::Core;
 use crate::shared::lock;
 
-/// Gives the figures of an instance and of its process.
+/// Returns the figures of an instance and of its process.
 pub(crate) fn figures(core: &Core) -> Vec<Figure> {
     let mut figures = lock(&core.shared.timings).figures();
     let request_plane = lock(&core.shared.request_plane);
@@ -38,7 +38,7 @@
     figures
 }
 
-/// Reads what the process itself has used, as far as the system tells.
+/// Reads the memory and processor time that the process uses, as far as the system reports them.
 fn process_cost() -> Vec<Figure> {
     let mut figures = Vec::new();
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
@@ -53,9 +53,9 @@
     figures
 }
 
-/// The system counts processor time in hundredths of a second.
+/// The unit in which the system counts processor time: hundredths of a second.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// The fields behind the command's name that hold user and system time.
+/// The fields after the command's name that hold user and system time.
 const TIME_FIELDS: std::ops::Range<usize> = 11..13;
 
 fn processor_seconds() -> Option<f64> {
--- a/components/instance/src/job_views.rs
+++ b/components/instance/src/job_views.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of jobs.
+//! The views of jobs that are reported to operators.
 
 use api::convert::job_message;
 use api::pb;
@@ -25,7 +25,7 @@
     }
 }
 
-/// Counts the tasks that run in this instance's zone, if it allocates there.
+/// Returns the number of tasks that run in this instance's zone, if it allocates there.
 fn running_here(core: &Core, job: &Job) -> u32 {
     let Some(allocator) = core.role.allocator() else { return 0 };
     let task = |index| TaskId { job: job.spec.name.clone(), index };
@@ -36,13 +36,13 @@
     running.count() as u32
 }
 
-/// Lists all jobs.
+/// Returns a list of all jobs.
 pub(crate) fn list_jobs(core: &Core) -> pb::ListJobsReply {
     let jobs = core.cell.jobs.values().map(|j| summary(core, j)).collect();
     pb::ListJobsReply { version: core.cell.applied, fresh: false, jobs }
 }
 
-/// Shows one job with its tasks, as far as this instance knows them.
+/// Returns a job with its tasks, as far as this instance knows them.
 pub(crate) fn show_job(core: &Core, name: &JobName) -> pb::ShowJobReply {
     let Some(job) = core.cell.jobs.get(name) else { return pb::ShowJobReply::default() };
     let tasks = (0..job.spec.tasks).map(|index| task_view(core, job, index)).collect();
@@ -69,7 +69,7 @@
         Some((TaskPhase::Starting, w)) => ("starting", w),
         Some((TaskPhase::Running, w)) => ("running", w),
         Some((TaskPhase::Ending, w)) => ("ending", w),
-        // Only the zone's allocator knows how the task stands.
+        // Only the zone's allocator knows the state of the task.
         None => ("ask-allocator", None),
     };
     view.state = state.into();
--- a/components/instance/src/lib.rs
+++ b/components/instance/src/lib.rs
@@ -1,8 +1,9 @@
-//! One instance of heathvale: the pure parts joined to clocks, disks, links and servers.
+//! One instance of heathvale: connects the side-effect-free components to clocks, disks, links and
+//! servers.
 //!
-//! One thread, the core, owns the cell state and the zone's allocator and takes in inputs one after
-//! the other; the servers' threads hand it calls and route requests. docs/architecture.md has the
-//! picture.
+//! One thread, the core, owns the cell state and the zone's allocator and processes inputs
+//! sequentially; the server threads route requests and pass calls to the core.
+//! docs/architecture.md gives an overview.
 
 mod active_config;
 mod callers;
--- a/components/instance/src/links.rs
+++ b/components/instance/src/links.rs
@@ -1,4 +1,4 @@
-//! The links to the other instances, and which of them a test has refused.
+//! The links to the other instances, and the refusal of links for tests.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -16,13 +16,13 @@
 use crate::message::Message;
 use crate::shared::Shared;
 
-/// How often the test file of refused links is read.
+/// The interval at which the test file of refused links is read.
 const REFUSED_POLL_INTERVAL: Wait = Wait(100);
 
 /// Opens the links to all instances of the settings.
 ///
 /// # Errors
-/// If they cannot be opened.
+/// Returns an error if the links cannot be opened.
 pub(crate) fn open_links(shared: &Arc<Shared>, core: &Sender<Input>) -> Result<Links> {
     let settings = &shared.settings;
     let others = settings.peers.values().filter(|p| p.id != settings.own.id);
@@ -33,7 +33,7 @@
         &cfg,
         Box::new(move |packet: Result<Packet<Message>>| match packet {
             Ok(packet) => {
-                // The core may have ended.
+                // The core may have stopped.
                 let _ = core.send(Input::Packet(packet));
             }
             Err(e) => {
@@ -44,7 +44,7 @@
     )
 }
 
-/// Refuses the links to the instances named in a file, for tests of cut links.
+/// Refuses the links to the instances named in a file, for tests of network partitions.
 pub(crate) async fn watch_refused(path: PathBuf, shared: Arc<Shared>, core: Sender<Input>) {
     let mut before: BTreeSet<InstanceId> = BTreeSet::new();
     loop {
--- a/components/instance/src/listeners.rs
+++ b/components/instance/src/listeners.rs
@@ -47,7 +47,7 @@
     Ok(server.run())
 }
 
-/// Makes one operator service for each connection.
+/// Creates one operator service for each connection.
 struct OperatorFactory {
     shared: Arc<Shared>,
     core: Sender<Input>,
--- a/components/instance/src/message.rs
+++ b/components/instance/src/message.rs
@@ -1,4 +1,4 @@
-//! What instances say to each other.
+//! The messages that instances exchange.
 
 use cell::{Command, Reply};
 use clock::Millis;
@@ -11,106 +11,107 @@
 /// A message between instances.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum Message {
-    /// Between members of the replicated log.
+    /// A message between members of the replicated log.
     Consensus(Envelope),
-    /// Asks the leader for a change.
+    /// Requests a change from the leader.
     Change {
-        /// The asker's number for it.
+        /// The sender's number for the change.
         token: u64,
-        /// What is asked for.
+        /// The requested change.
         change: Change,
     },
     /// Answers [`Message::Change`].
     Changed {
-        /// The asker's number.
+        /// The requester's number.
         token: u64,
-        /// What became of it.
+        /// The outcome of the change.
         outcome: Outcome,
     },
-    /// Asks the leader up to where its state is certain.
+    /// Requests the index up to which the leader's state is certain.
     ReadIndexRequest {
-        /// The asker's number.
+        /// The requester's number.
         token: u64,
     },
     /// Answers [`Message::ReadIndexRequest`].
     ReadIndexReply {
-        /// The asker's number.
+        /// The requester's number.
         token: u64,
-        /// The entry that the asker has to have applied, or nothing if this instance cannot tell.
+        /// The index that the requester has to apply, or `None` if this instance cannot determine it.
         index: Option<u64>,
     },
-    /// Tells the leader of a zone, and asks to allocate for it or to go on doing so.
+    /// Reports a zone to the leader, and requests to allocate for it or to continue.
     ZoneRequest(ZoneRequest),
     /// Confirms an allocator.
     ZoneConfirmed {
         /// The epoch.
         epoch: Epoch,
-        /// The asker's clock, from its question.
+        /// The requester's clock, copied from its request.
         asked_at: Millis,
-        /// The leader's last entry; the lease counts once it is applied.
+        /// The index of the leader's last entry; the lease is valid once that entry is applied.
         last_index: u64,
     },
-    /// The zone's allocator, cut off from the leader, asks the others not to allocate for a while.
+    /// Sent by a zone's allocator whose lease the leader does not confirm: asks the zone's other
+    /// instances to commit not to allocate for a while.
     CommitmentRequest {
         /// The allocator's epoch.
         epoch: Epoch,
-        /// The asker's clock.
+        /// The requester's clock.
         asked_at: Millis,
     },
     /// Grants [`Message::CommitmentRequest`].
     Commitment {
         /// The epoch.
         epoch: Epoch,
-        /// The asker's clock, from its question.
+        /// The requester's clock, copied from its request.
         asked_at: Millis,
     },
-    /// Asks the zone's allocator for a loan of slots.
+    /// Requests a loan of slots from the zone's allocator.
     Demand(Demand),
     /// Answers [`Message::Demand`].
     Loan(Loan),
-    /// Tells the others of the zone that an upstream is leaving.
+    /// Notifies the other instances of the zone that an upstream is leaving.
     Leaving(Name),
-    /// Copies of the sender's events, for the case that its process dies.
+    /// Copies of the sender's events, in case its process terminates.
     Events(Vec<EventCopy>),
-    /// A process that has just started asks for the copies that the one before it kept.
+    /// Sent by a started process: requests the event copies that the receiver keeps.
     EventsRequest,
-    /// Answers [`Message::EventsRequest`] with a part of what the sender keeps.
+    /// Answers [`Message::EventsRequest`] with a part of the copies that the sender keeps.
     RetainedEvents(Vec<EventCopy>),
 }
 
-/// A zone's instance asks to allocate for it, or to go on.
+/// A request of a zone's instance to allocate for the zone, or to continue.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneRequest {
     /// The zone.
     pub zone: ZoneId,
-    /// The epoch that the asker allocates under, zero if it does not.
+    /// The epoch under which the requester allocates, zero if it does not.
     pub epoch: Epoch,
-    /// The asker's clock.
+    /// The requester's clock.
     pub asked_at: Millis,
-    /// How far the asker has applied the log.
+    /// The index of the last log entry that the requester has applied.
     pub applied: u64,
-    /// What the zone has free and its largest worker, if the asker knows.
+    /// The zone's free capacity and its largest worker, if the requester knows them.
     pub capacity: Option<(Size, Size)>,
 }
 
-/// A change that any instance may ask the leader for.
+/// A change that any instance may request from the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Change {
-    /// A command as it is.
+    /// A command that is proposed unchanged.
     Command {
         /// The caller's key.
         key: Option<RequestKey>,
         /// The command.
         command: Command,
     },
-    /// A new job; the leader chooses its zones.
+    /// Creates a job; the leader chooses its zones.
     CreateJob {
         /// The caller's key.
         key: RequestKey,
         /// The job.
         spec: JobSpec,
     },
-    /// Another role for a member.
+    /// Changes the role of a member.
     Member {
         /// The member.
         id: InstanceId,
@@ -119,21 +120,21 @@
     },
 }
 
-/// What became of a change.
+/// The outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Outcome {
-    /// It was committed, with this reply.
+    /// The change was committed and has this reply.
     Applied(Reply),
-    /// It surely did not happen; it may be asked for again.
+    /// The change certainly did not take place; it may be requested again.
     Refused {
-        /// Why.
+        /// The reason.
         reason: Name,
     },
-    /// It can never be accepted.
+    /// The change can never be accepted.
     Invalid {
-        /// Why.
+        /// The reason.
         reason: Name,
     },
-    /// It may or may not happen.
+    /// The change may or may not take place.
     Unknown,
 }
--- a/components/instance/src/operators.rs
+++ b/components/instance/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' calls.
+//! The calls of operators.
 
 use std::sync::Arc;
 use std::sync::mpsc::Sender;
@@ -18,14 +18,14 @@
 use crate::shared::Shared;
 use crate::status::status;
 
-/// How long a call waits for its outcome.
+/// The maximum time that a call waits for its outcome.
 const MAX_WAIT: Wait = Wait(6_000);
-/// When an operator comes back after a refusal.
+/// The delay after which an operator should retry a refused call.
 const RETRY_AFTER: Millis = Millis(500);
-/// The longest request key, in bytes.
+/// The maximum length of a request key in bytes.
 const MAX_KEY_BYTES: usize = 200;
 
-/// Answers operators' calls by handing them to the core.
+/// The service that passes operators' calls to the core.
 #[derive(Clone)]
 pub(crate) struct OperatorServer {
     pub(crate) shared: Arc<Shared>,
@@ -178,7 +178,8 @@
         change_reply(outcome.unwrap_or(Ok(Outcome::Unknown)).unwrap_or(Outcome::Unknown))
     }
 
-    /// Waits until this instance holds every change that was accepted before the call.
+    /// Waits until this instance has applied every change that was accepted before the call. Returns
+    /// whether it has.
     async fn is_fresh(&self) -> bool {
         let (tx, rx) = oneshot::channel();
         if self.core.send(Input::Read { tx }).is_err() {
@@ -193,7 +194,7 @@
     ) -> Option<T> {
         let (tx, rx) = oneshot::channel();
         let query = move |core: &Core| {
-            // The caller may have gone.
+            // The caller may have disconnected.
             let _ = tx.send(read(core));
         };
         self.core.send(Input::Query(Box::new(query))).ok()?;
--- a/components/instance/src/pending_changes.rs
+++ b/components/instance/src/pending_changes.rs
@@ -1,4 +1,4 @@
-//! Changes that were asked for and wait for their outcome.
+//! Requested changes that wait for their outcome.
 
 use std::collections::BTreeMap;
 
@@ -8,27 +8,28 @@
 
 use crate::message::Outcome;
 
-/// How long an outcome is waited for before it is told as unknown.
+/// The maximum wait for an outcome before it is reported as unknown.
 pub(crate) const MAX_WAIT: Millis = Millis(5_000);
 
-/// Gives the number from which a process counts its questions, beyond those of an earlier process of
-/// this instance, so that a late answer to that one is not taken for one of its own.
+/// Returns the number from which a process numbers its requests. It is greater than the numbers of
+/// earlier processes of this instance, so that a late reply to one of them is not mistaken for a
+/// reply to this process.
 pub(crate) fn first_token() -> u64 {
     const QUESTIONS_PER_MILLISECOND: u32 = 20;
     wall_now().0 << QUESTIONS_PER_MILLISECOND
 }
 
-/// Who gets an outcome.
+/// The receiver of an outcome.
 pub(crate) enum Requester {
     /// A call on this instance.
     Here(oneshot::Sender<Outcome>),
-    /// Another instance, with its number for the change.
+    /// Another instance, and its number for the change.
     Peer(InstanceId, u64),
-    /// Nobody: the asker looks at the state.
+    /// Nobody: the requester observes the state instead.
     Nobody,
 }
 
-/// Changes sent to the leader, by this instance's numbers.
+/// Changes forwarded to the leader, by this instance's numbers.
 pub(crate) struct ForwardedChanges {
     next: u64,
     waiting: BTreeMap<u64, (oneshot::Sender<Outcome>, Millis)>,
@@ -47,7 +48,7 @@
         self.next
     }
 
-    /// Numbers a change whose outcome nobody waits for.
+    /// Returns the number for a change whose outcome nobody waits for.
     pub(crate) fn next_token(&mut self) -> u64 {
         self.next += 1;
         self.next
@@ -55,7 +56,7 @@
 
     pub(crate) fn answer(&mut self, token: u64, outcome: Outcome) {
         if let Some((tx, _)) = self.waiting.remove(&token) {
-            // The caller may have gone.
+            // The caller may have disconnected.
             let _ = tx.send(outcome);
         }
     }
@@ -66,16 +67,16 @@
         late.into_iter().for_each(|t| self.answer(t, Outcome::Unknown));
     }
 
-    /// Gives up on all outcomes at once, because the leader they were asked of is gone.
+    /// Completes all changes with an unknown outcome, because the leader has changed.
     pub(crate) fn abandon_all(&mut self) {
         for (tx, _) in std::mem::take(&mut self.waiting).into_values() {
-            // The caller may have gone.
+            // The caller may have disconnected.
             let _ = tx.send(Outcome::Unknown);
         }
     }
 }
 
-/// Changes in this leader's log, by index.
+/// Changes proposed by this leader, by log index.
 #[derive(Default)]
 pub(crate) struct ProposedChanges {
     waiting: BTreeMap<u64, (u64, Requester)>,
@@ -88,13 +89,13 @@
         }
     }
 
-    /// Gives who asked for the entry at `index`, if it is the one of that term.
+    /// Removes and returns the requester of the entry at `index`, if that entry has the given term.
     pub(crate) fn take(&mut self, index: u64, term: u64) -> Option<Requester> {
         let (asked_term, requester) = self.waiting.remove(&index)?;
         (asked_term == term).then_some(requester)
     }
 
-    /// Gives everyone who waits, because this instance no longer leads.
+    /// Removes and returns all requesters, because this instance no longer leads.
     pub(crate) fn take_all(&mut self) -> Vec<Requester> {
         std::mem::take(&mut self.waiting).into_values().map(|w| w.1).collect()
     }
--- a/components/instance/src/pending_reads.rs
+++ b/components/instance/src/pending_reads.rs
@@ -1,4 +1,4 @@
-//! Reads that wait until the state holds enough for them.
+//! Reads that wait until the state is sufficiently recent.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
 
 use crate::pending_changes::{MAX_WAIT, first_token};
 
-/// Reads that wait until this instance has applied up to an entry.
+/// Reads that wait until this instance has applied the log up to an index.
 pub(crate) struct PendingReads {
     next: u64,
-    /// The question by which this process catches up, and up to where it has to.
+    /// The number of the request for the index up to which this process has to catch up.
     barrier: Option<u64>,
     barrier_index: Option<u64>,
     awaiting_index: BTreeMap<u64, (oneshot::Sender<bool>, Millis)>,
@@ -30,18 +30,18 @@
 }
 
 impl PendingReads {
-    /// Numbers the question up to where this process has to apply the log before it acts on it.
+    /// Returns the number for a request for the index that this process has to apply before it is ready.
     pub(crate) fn request_barrier(&mut self) -> u64 {
         self.next += 1;
         *self.barrier.insert(self.next)
     }
 
-    /// Notes the answer that this process, leading, gives itself.
+    /// Records the index that this process, as the leader, determined itself.
     pub(crate) fn set_barrier_index(&mut self, index: Option<u64>) {
         self.barrier_index = self.barrier_index.or(index);
     }
 
-    /// Tells whether this process has applied all that was committed when it asked.
+    /// Returns whether this process has applied everything that was committed at its request.
     pub(crate) fn is_past_barrier(&self, applied: u64) -> bool {
         self.barrier_index.is_some_and(|index| applied >= index)
     }
@@ -69,7 +69,8 @@
         }
     }
 
-    /// Answers reads that the state holds enough for, and gives up on old ones.
+    /// Completes the reads that the state is recent enough for, and fails those that waited too long
+    /// for their index.
     pub(crate) fn settle(&mut self, now: Millis, applied: u64) {
         for (index, tx) in std::mem::take(&mut self.awaiting_apply) {
             if applied >= index {
--- a/components/instance/src/request_plane.rs
+++ b/components/instance/src/request_plane.rs
@@ -1,4 +1,4 @@
-//! The request plane: the router and the requests that wait for it.
+//! The request plane: the router and the requests that wait for an upstream.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +11,8 @@
 use settings::Instance;
 use tokio::sync::oneshot;
 
-/// The chosen ways; docs/design/requests.md says by which measurement.
+/// How slots are divided among instances, and how upstreams are selected; docs/design/requests.md
+/// gives the measurements behind both.
 const SLOT_SHARING: SlotSharing = SlotSharing::Borrowed;
 const UPSTREAM_SELECTION: SelectionPolicy = SelectionPolicy::ShortestWait;
 
@@ -26,27 +27,27 @@
     }
 }
 
-/// Gives what the zone's broker may lend of each upstream.
+/// Returns the number of slots of each upstream that the zone's broker may lend.
 pub(crate) fn lendable_slots(config: &CellConfig) -> u32 {
     routing::lendable_slots(SLOT_SHARING, config.upstream_slots, config.instances_per_zone)
 }
 
-/// What an arriving request is told.
+/// The router's response to an arriving request.
 pub(crate) enum Arrival {
-    /// The router has decided.
+    /// The decision was made immediately.
     Decided(Admission),
-    /// It will decide.
+    /// The request is queued and the decision follows.
     Queued(oneshot::Receiver<Dispatch>),
 }
 
-/// The router, and whom to tell its later decisions.
+/// The router and the waiters for its later decisions.
 pub(crate) struct RequestPlane {
     router: Router,
     waiters: BTreeMap<u64, oneshot::Sender<Dispatch>>,
     next_id: u64,
     in_progress: u32,
     listed: BTreeMap<Name, TargetState>,
-    /// Upstreams that said themselves, or of which a peer said, that they are leaving.
+    /// Upstreams that announced that they are leaving, to this instance or to a peer.
     leaving: BTreeSet<Name>,
 }
 
@@ -70,8 +71,8 @@
         self.router.configure(router_config(config));
     }
 
-    /// Takes in the zone's upstreams. One that said that it is leaving stays so until it is gone
-    /// from the list.
+    /// Sets the zone's upstreams. An upstream that announced its leaving remains marked until it is
+    /// gone from the list.
     pub(crate) fn set_targets(&mut self, listed: BTreeMap<Name, TargetState>) {
         self.leaving.retain(|name| listed.contains_key(name));
         self.listed = listed;
@@ -86,14 +87,14 @@
         self.router.set_targets(&targets);
     }
 
-    /// Notes that an upstream is leaving. Gives false if that was known.
+    /// Marks an upstream as leaving. Returns whether it was listed and not marked yet.
     pub(crate) fn mark_leaving(&mut self, name: &Name) -> bool {
         let known = !self.listed.contains_key(name) || !self.leaving.insert(name.clone());
         self.router.note_leaving(name);
         !known
     }
 
-    /// Numbers a request.
+    /// Creates the router's information about a request, with a new id.
     pub(crate) fn new_request(
         &mut self,
         class: Class,
@@ -109,7 +110,7 @@
         match self.router.admit(now, info.clone()) {
             Admission::Wait => Arrival::Queued(self.wait_for(id)),
             refusal @ Admission::Refuse { .. } if class == Class::Urgent => {
-                // Lower classes give way; the refusal stands if there are none.
+                // Sheds a request of a lower class; without one the refusal is returned.
                 let Some(shed) = self.router.shed_below(now, class) else {
                     return Arrival::Decided(refusal);
                 };
@@ -139,7 +140,7 @@
         self.notify_waiters(now, dispatches);
     }
 
-    /// Tells those who wait. A dispatch to a caller that has gone gives its slot back.
+    /// Delivers decisions to the waiters. A decision for a caller that has disconnected frees its slot.
     fn notify_waiters(&mut self, now: Millis, mut dispatches: Vec<Dispatch>) {
         while !dispatches.is_empty() {
             let undelivered = self.notify(dispatches);
@@ -164,7 +165,7 @@
         undelivered
     }
 
-    /// Takes out a request whose caller has gone.
+    /// Removes a request whose caller has disconnected.
     pub(crate) fn cancel(&mut self, id: u64) {
         self.waiters.remove(&id);
         self.router.cancel(id);
@@ -184,12 +185,12 @@
         self.notify_waiters(now, dispatches);
     }
 
-    /// Counts callers' requests from their arrival to their answer.
+    /// Adjusts the number of callers' requests between arrival and response.
     pub(crate) fn adjust_in_progress(&mut self, by: i32) {
         self.in_progress = self.in_progress.saturating_add_signed(by);
     }
 
-    /// Gives how many callers' requests are under way.
+    /// Returns the number of callers' requests in progress.
     pub(crate) fn in_progress(&self) -> u32 {
         self.in_progress
     }
--- a/components/instance/src/server.rs
+++ b/components/instance/src/server.rs
@@ -1,4 +1,4 @@
-//! Starting an instance, running it, and its planned stop.
+//! The start of an instance, its main loop, and its planned stop.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -21,15 +21,15 @@
 use crate::shared::{Shared, lock};
 use crate::worker_calls::make_calls;
 
-/// How often a failed core or a stop is looked for.
+/// The interval at which a failed core or a stop signal is checked for.
 const WATCH_INTERVAL: Wait = Wait(200);
-/// How long handing over the epoch and leadership may take in a planned stop.
+/// The maximum time for handing over the epoch and leadership in a planned stop.
 const MAX_HANDOVER_WAIT: Wait = Wait(2_000);
 
-/// Runs an instance until it is told to stop.
+/// Runs an instance until it receives a signal to stop.
 ///
 /// # Errors
-/// If it cannot start, or if its disk fails while it runs.
+/// Returns an error if the instance cannot start, or if its disk fails while it runs.
 pub fn run(settings: Instance) -> Result<()> {
     let callers = bind(settings.own.callers)?;
     let operators = bind(settings.operators)?;
@@ -80,11 +80,11 @@
     builder.spawn(f).map_err(|e| Error::Refused(format!("cannot start a thread: {e}")))
 }
 
-/// Gives a flag that a signal to stop sets.
+/// Returns a flag that SIGTERM or SIGINT sets.
 fn watch_signals() -> Result<Arc<AtomicBool>> {
     let stop = Arc::new(AtomicBool::new(false));
     let mut signals = Signals::new([SIGTERM, SIGINT])
-        .map_err(|e| Error::Refused(format!("cannot take in signals: {e}")))?;
+        .map_err(|e| Error::Refused(format!("cannot register signal handlers: {e}")))?;
     let flag = stop.clone();
     spawn("signals", move || {
         for _ in signals.forever() {
@@ -123,20 +123,20 @@
     stop_gracefully(&shared, &core).await;
     http.stop(true).await;
     grpc.stop(true).await;
-    // The core may have failed meanwhile.
+    // The core may have failed in the meantime.
     let _ = core.send(Input::Stop);
     Ok(())
 }
 
-/// The planned stop: the balancer is told first, then the epoch and leadership are handed over,
-/// then nothing new is taken, and what runs is finished.
+/// Performs the planned stop: notifies the balancer, hands over the epoch and leadership, then
+/// refuses new requests and waits for those in progress.
 async fn stop_gracefully(shared: &Arc<Shared>, core: &Sender<Input>) {
     shared.journal.note(&kinds::INSTANCE_STOPPING, Subject::default(), "told to stop");
     shared.set_stopping();
     sleep(Wait(shared.settings.drain_notice.0 as u32)).await;
     let (tx, rx) = oneshot::channel();
     if core.send(Input::Handover { tx }).is_ok() {
-        // Without a leader there is nobody to hand over to.
+        // Without a leader there is no instance to hand over to.
         let _ = ntex::time::timeout(MAX_HANDOVER_WAIT, rx).await;
     }
     shared.set_closed();
--- a/components/instance/src/shared.rs
+++ b/components/instance/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of an instance share.
+//! The state that the threads of an instance share.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,20 +14,20 @@
 
 use crate::request_plane::RequestPlane;
 
-/// Locks a mutex whatever became of the thread that held it before.
+/// Locks a mutex, even if a thread panicked while holding it.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-/// What the core shows the servers' threads.
+/// The state that the core shares with the server threads.
 pub(crate) struct Shared {
     /// The settings.
     pub(crate) settings: Instance,
-    /// The clock that all timeouts are judged by.
+    /// The clock that all timeouts use.
     pub(crate) clock: SystemClock,
-    /// The events.
+    /// The event journal.
     pub(crate) journal: Journal,
-    /// How long things took.
+    /// The measured durations.
     pub(crate) timings: Mutex<Timings>,
     /// The request plane.
     pub(crate) request_plane: Mutex<RequestPlane>,
@@ -70,12 +70,12 @@
         &self.settings.own.zone
     }
 
-    /// Gives the configuration in force.
+    /// Returns the active configuration.
     pub(crate) fn config(&self) -> Arc<ConfigVersion> {
         self.config.read().unwrap_or_else(|e| e.into_inner()).clone()
     }
 
-    /// Puts a configuration in force, unless a newer one is.
+    /// Activates a configuration, unless a newer one is active.
     pub(crate) fn put_config(&self, config: ConfigVersion) {
         let mut current = self.config.write().unwrap_or_else(|e| e.into_inner());
         if config.version >= current.version {
@@ -100,7 +100,7 @@
         *self.drained.write().unwrap_or_else(|e| e.into_inner()) = Arc::new(drained);
     }
 
-    /// Tells whether this instance knows a configuration that may be in force.
+    /// Returns whether this instance knows a configuration that may be the active one.
     pub(crate) fn is_ready(&self) -> bool {
         self.ready.load(Ordering::SeqCst)
     }
@@ -109,7 +109,7 @@
         self.ready.store(true, Ordering::SeqCst);
     }
 
-    /// Tells whether the balancer should send nothing more.
+    /// Returns whether the balancer should send no more callers.
     pub(crate) fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::SeqCst)
     }
@@ -118,7 +118,7 @@
         self.stopping.store(true, Ordering::SeqCst);
     }
 
-    /// Tells whether new work is refused.
+    /// Returns whether new requests are refused.
     pub(crate) fn is_closed(&self) -> bool {
         self.closed.load(Ordering::SeqCst)
     }
--- a/components/instance/src/status.rs
+++ b/components/instance/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of an instance.
+//! The status of an instance, as reported to operators.
 
 use api::convert::amount;
 use api::pb;
@@ -11,7 +11,7 @@
 use crate::figures::figures;
 use crate::shared::lock;
 
-/// Shows the instance itself.
+/// Returns the status of this instance.
 pub(crate) fn status(core: &Core) -> pb::StatusReply {
     let node = core.replica.node();
     let shared = &core.shared;
--- a/components/instance/src/upstream_call.rs
+++ b/components/instance/src/upstream_call.rs
@@ -1,4 +1,4 @@
-//! Sending one request to an upstream, or on to another zone, and judging what comes back.
+//! Sends a request to an upstream or to another zone, and interprets the response.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,42 +15,43 @@
 use ntex::util::Bytes;
 use upstream::{MAX_BODY_BYTES, headers};
 
-/// How long an unused connection is kept, in seconds; less than upstreams keep theirs, so that a
-/// request does not meet a connection that is just being closed.
+/// How long an idle connection is kept, in seconds. It is shorter than the idle timeout of upstreams,
+/// because otherwise a request may be sent on a connection that the upstream is closing.
 const KEEP_ALIVE_SECONDS: u16 = 3;
 
-/// When a caller comes back after another zone could not be reached either.
+/// The delay after which a caller should retry when another zone could not be reached either.
 const PEER_RETRY_AFTER: Millis = Millis(1_000);
 
-/// A request on its way.
+/// A request to send.
 #[derive(Clone)]
 pub(crate) struct Outgoing {
-    /// This instance's own id for it, which the answer must repeat.
+    /// This instance's id for the request, which the response must repeat.
     pub(crate) id: String,
-    /// The caller's key, if it is not repeatable.
+    /// The caller's key, if the request is not repeatable.
     pub(crate) key: Option<String>,
-    /// Headers that are passed on as they came.
+    /// Additional headers.
     pub(crate) extra: Vec<(&'static str, String)>,
     /// The body.
     pub(crate) body: Bytes,
 }
 
-/// How a call ended.
+/// The result of a call.
 #[derive(Debug)]
 pub(crate) enum CallEnd {
-    /// The whole answer.
+    /// The complete response was received.
     Done { body: Vec<u8>, load: Option<u32> },
-    /// It surely did not run: no byte was sent, or the upstream says so.
+    /// The request certainly did not run: no byte was sent, or the upstream says so.
     NotRun { leaving: bool, connected: bool },
-    /// It ran and the upstream reported a failure.
+    /// The request ran and the upstream reported a failure.
     Failed(Name),
-    /// It may have run: the connection broke, time ran out, or the answer was not whole.
+    /// The request may have run: the connection broke, the deadline passed, or the response was
+    /// incomplete.
     Broken(Name),
-    /// The answer was for another request.
+    /// The response belongs to another request.
     Crossed,
 }
 
-/// One pool of connections for each upstream.
+/// A connection pool for each upstream.
 #[derive(Clone, Default)]
 pub(crate) struct Clients {
     by_name: Rc<RefCell<BTreeMap<Name, Client>>>,
@@ -73,12 +74,12 @@
         }
     }
 
-    /// Closes all connections to an upstream that mixed up answers.
+    /// Closes all connections to an upstream that sent the response to another request.
     pub(crate) fn close(&self, name: &Name) {
         self.by_name.borrow_mut().remove(name);
     }
 
-    /// Sends a request and waits for its whole answer, at most `timeout`.
+    /// Sends a request and waits at most `timeout` for its complete response.
     pub(crate) async fn call(
         &self,
         name: &Name,
@@ -99,11 +100,11 @@
     }
 }
 
-/// The most connections to one instance of another zone.
+/// The maximum number of connections to one instance of another zone.
 const MAX_PEER_CONNECTIONS: usize = 32;
 
 impl Clients {
-    /// Passes a request on to an instance of another zone and gives its answer.
+    /// Forwards a request to an instance of another zone and returns its answer.
     pub(crate) async fn call_peer(
         &self,
         name: &Name,
@@ -132,14 +133,14 @@
 
 async fn read_peer_response(response: ClientResponse, id: &str) -> Answer {
     if header_text(&response, headers::REQUEST) != Some(id) {
-        return Answer::MayHaveRun("another zone answered another request".into());
+        return Answer::MayHaveRun("another zone answered a different request".into());
     }
     let outcome = header_text(&response, headers::OUTCOME).unwrap_or_default().to_string();
     let length = header_text(&response, headers::BODY_LENGTH).and_then(|l| l.parse::<usize>().ok());
     let retry_after = header_text(&response, headers::RETRY_AFTER_MS).and_then(|l| l.parse().ok());
     let body = response.body().limit(MAX_BODY_BYTES).await.map(|b| b.to_vec()).unwrap_or_default();
     if length != Some(body.len()) {
-        return Answer::MayHaveRun("the answer from another zone is not whole".into());
+        return Answer::MayHaveRun("the answer from another zone is incomplete".into());
     }
     let reason = || Name::from(String::from_utf8_lossy(&body).as_ref());
     match outcome.as_str() {
@@ -178,7 +179,7 @@
     }
 }
 
-/// Only a refused connection proves that no byte was sent.
+/// Returns whether certainly no byte was sent. Only a refused connection proves that.
 fn never_sent(e: &ClientError) -> bool {
     let ClientError::Connect(ConnectError::Disconnected(Some(e))) = e else { return false };
     e.kind() == std::io::ErrorKind::ConnectionRefused
@@ -201,10 +202,10 @@
     let status = response.status();
     let body = match response.body().limit(MAX_BODY_BYTES).await {
         Ok(body) => body.to_vec(),
-        Err(e) => return CallEnd::Broken(format!("the answer broke off: {e}").into()),
+        Err(e) => return CallEnd::Broken(format!("the answer was cut off: {e}").into()),
     };
     if length != Some(body.len()) {
-        return CallEnd::Broken("the answer is not whole".into());
+        return CallEnd::Broken("the answer is incomplete".into());
     }
     match status {
         StatusCode::OK => CallEnd::Done { body, load },
--- a/components/instance/src/worker_calls.rs
+++ b/components/instance/src/worker_calls.rs
@@ -1,4 +1,4 @@
-//! The thread that calls workers and asks the platform for its list.
+//! The thread that calls workers and polls the platform for its list of workers.
 
 use std::net::SocketAddr;
 use std::sync::mpsc::Sender;
@@ -10,10 +10,10 @@
 
 use crate::core::{Input, WorkerCall};
 
-/// How often the platform is asked.
+/// The interval at which the platform's list is polled.
 const LIST_INTERVAL: Wait = Wait(1_000);
 
-/// Makes calls until the core ends.
+/// Makes calls until the core stops.
 pub(crate) async fn make_calls(
     mut calls: UnboundedReceiver<WorkerCall>,
     platform: SocketAddr,
@@ -37,13 +37,13 @@
         })
     });
     let (epoch, worker, seq) = (call.epoch, call.worker, call.req.seq);
-    // The core may have ended.
+    // The core may have stopped.
     let _ = core.send(Input::WorkerReply { epoch, worker, seq, reply });
 }
 
 async fn poll_list(client: Client, platform: SocketAddr, core: Sender<Input>) {
     loop {
-        // Without an answer the last list stays in use; it lags anyhow.
+        // Without a response the last list stays in use; the list lags in any case.
         if let Ok(list) = fetch_worker_list(&client, platform).await
             && core.send(Input::List(list)).is_err()
         {
--- a/components/instance/src/zone_role.rs
+++ b/components/instance/src/zone_role.rs
@@ -1,4 +1,4 @@
-//! This instance's part in its zone: asking for the epoch, and allocating while it holds it.
+//! This instance's role in its zone: it requests the epoch, and allocates while it holds it.
 
 use std::collections::BTreeSet;
 
@@ -18,7 +18,7 @@
     zone: ZoneId,
     id: InstanceId,
     longest_request: Millis,
-    /// Grants up to this one belong to an earlier process of this instance.
+    /// Grants up to this epoch belong to an earlier process of this instance and are ignored.
     ignored_grants: Option<u64>,
     allocator: Option<Allocator>,
     broker: Option<Broker>,
@@ -30,7 +30,7 @@
     authority: Authority,
     list: PlatformList,
     stopping: bool,
-    /// Whether operators have taken this instance out of use.
+    /// Whether operators have drained this instance.
     drained: bool,
 }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Notes that this process knows the cell as of `applied`: it acts on later grants only.
+    /// Records that this process knows the cell as of `applied`. It acts on later grants only.
     pub(crate) fn ready(&mut self, applied: u64) {
         self.ignored_grants.get_or_insert(applied);
     }
@@ -72,7 +72,7 @@
         self.allocator.as_ref().map_or(Epoch(0), Allocator::epoch)
     }
 
-    /// Gives what to tell the leader, if this instance takes part.
+    /// Returns the request to send to the leader, if this instance participates.
     pub(crate) fn request(&self, now: Millis, applied: u64) -> Option<ZoneRequest> {
         let takes_part = self.ignored_grants.is_some() && !self.stopping && !self.drained;
         takes_part.then(|| ZoneRequest {
@@ -84,7 +84,8 @@
         })
     }
 
-    /// An instance that does not allocate knows only what the platform lists.
+    /// Returns the zone's free capacity and its largest worker. An instance that does not allocate only
+    /// knows the platform's list.
     fn capacity(&self) -> Option<(Size, Size)> {
         let capacity = self.allocator.as_ref()?.free_capacity();
         Some((capacity.free, capacity.largest))
@@ -94,13 +95,14 @@
         self.lease.confirm(epoch, asked_at, last_index);
     }
 
-    /// Tells whether this instance allocates and wants its zone's others not to, because it does not
-    /// hear from the leader.
+    /// Returns whether this instance allocates and needs the commitments of its zone's other instances
+    /// not to allocate, because the leader does not confirm its lease.
     pub(crate) fn needs_commitments(&self) -> bool {
         self.allocator.is_some() && self.authority != Authority::Full
     }
 
-    /// Gives a pledge not to allocate for a while to the allocator of `epoch`, if that is the newest.
+    /// Commits not to allocate for a while to the allocator of `epoch`, if that epoch is the newest.
+    /// Returns whether the commitment is given.
     pub(crate) fn give_commitment(&mut self, now: Millis, epoch: Epoch, cell: &Cell) -> bool {
         self.allocator.is_none()
             && self.own_commitment.give(now, epoch, cell.zones.epoch(&self.zone))
@@ -110,8 +112,8 @@
         self.peer_commitments.note(epoch, peer, asked_at);
     }
 
-    /// Looks at the zone's grant, and starts or ends allocating. A grant that was not acted on
-    /// because of a pledge is acted on later.
+    /// Starts or ends allocating according to the zone's grant. A grant that is held back by a
+    /// commitment takes effect later.
     pub(crate) fn follow_grant(&mut self, now: Millis, cell: &Cell) {
         let grant = cell.zones.grant(&self.zone);
         let epoch = grant.map_or(Epoch(0), |g| g.epoch);
@@ -139,7 +141,7 @@
         self.allocator = Some(allocator);
     }
 
-    /// Takes in a state that was replaced as a whole.
+    /// Reloads the jobs and the drained names after the state was replaced by a snapshot.
     pub(crate) fn reload(&mut self, now: Millis, cell: &Cell) {
         self.follow_grant(now, cell);
         let Some(allocator) = &mut self.allocator else { return };
@@ -150,7 +152,7 @@
         allocator.set_drained(&cell.drained);
     }
 
-    /// Takes in a command that the cell has applied.
+    /// Updates the allocator after the cell has applied a command.
     pub(crate) fn applied(&mut self, now: Millis, cell: &Cell, command: &Command) {
         let zone = self.zone.clone();
         let Some(allocator) = &mut self.allocator else { return };
@@ -180,7 +182,7 @@
         self.list = list;
     }
 
-    /// Lets time pass and gives what the allocator wants done, and its right if that has changed.
+    /// Advances the time. Returns the allocator's actions, and its authority if that has changed.
     pub(crate) fn tick(&mut self, now: Millis, cell: &Cell) -> (Vec<Action>, Option<Authority>) {
         self.follow_grant(now, cell);
         let Some(allocator) = &mut self.allocator else { return (Vec::new(), None) };
@@ -210,7 +212,8 @@
         }
     }
 
-    /// Answers a demand. Without the right to start tasks another instance may lend already.
+    /// Answers a demand. Without the authority to start tasks it returns `None`, because another
+    /// instance may already lend.
     pub(crate) fn lend(&mut self, now: Millis, demand: &Demand, pool: u32) -> Option<Loan> {
         if self.authority == Authority::RenewOnly {
             return None;
@@ -218,19 +221,19 @@
         self.broker.as_mut()?.answer(now, demand, pool)
     }
 
-    /// Takes in whether operators have taken this instance out of use; it gives the zone back then.
+    /// Records whether operators have drained this instance. Returns the release of the epoch if so.
     pub(crate) fn set_drained(&mut self, drained: bool) -> Option<Command> {
         self.drained = drained;
         if drained { self.release_epoch() } else { None }
     }
 
-    /// Gives the zone back for a planned stop.
+    /// Releases the zone for a planned stop.
     pub(crate) fn release(&mut self) -> Option<Command> {
         self.stopping = true;
         self.release_epoch()
     }
 
-    /// Ends allocating at once: nothing is told to workers from now on.
+    /// Ends allocating immediately: nothing more is sent to workers.
     fn release_epoch(&mut self) -> Option<Command> {
         let epoch = self.allocator.take()?.epoch();
         self.broker = None;
@@ -244,7 +247,8 @@
     }
 }
 
-/// An organisation's ceiling is cut equally over the zones, so that the sum holds without asking.
+/// Returns the allocator's configuration. An organisation's quota is divided equally among the zones,
+/// so that the total holds without coordination.
 fn allocator_config(zone: ZoneId, epoch: Epoch, cell: &Cell) -> AllocatorConfig {
     let config = &cell.config.config;
     let zones = cell.zones.iter().count().max(1) as u64;
--- a/components/instance/src/zone_supervisor.rs
+++ b/components/instance/src/zone_supervisor.rs
@@ -1,7 +1,8 @@
-//! The leader's care for the zones: who allocates, and what moves when a zone is cut off.
+//! The leader's supervision of the zones: it grants epochs to allocators and moves tasks out of
+//! silent zones.
 //!
-//! The keeper is pure. It only ever acts on rights that have surely run out, see
-//! docs/design/leases.md.
+//! The supervisor has no side effects. It replaces a grant or moves tasks only when the earlier
+//! leases have certainly expired, see docs/design/leases.md.
 
 use std::collections::BTreeMap;
 
@@ -12,20 +13,20 @@
 
 pub use crate::message::ZoneRequest;
 
-/// How much longer than it must a zone is left alone before its tasks move, so that short cuts move
-/// nothing.
+/// The time beyond the certain expiry of its leases after which a silent zone's tasks move. With a
+/// shorter one brief network failures move tasks; a longer one delays their restart.
 const MOVE_GRACE: Millis = Millis(10_000);
-/// The most shares that are moved at once.
+/// The maximum number of shares that are moved per check.
 const MAX_MOVES_PER_CHECK: usize = 200;
 
-/// What the leader does about a question.
+/// The leader's decision about a zone's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ZoneDecision {
-    /// The asker's epoch is confirmed.
+    /// The sender's epoch is confirmed.
     Confirm,
-    /// The zone is to be granted to the asker.
+    /// The zone is granted to the sender by this command.
     Grant(Command),
-    /// Nothing for now.
+    /// Nothing is done for now.
     Wait,
 }
 
@@ -33,14 +34,14 @@
 struct ZoneState {
     /// When the leader last confirmed the zone's allocator.
     confirmed_at: Option<Millis>,
-    /// When any instance of the zone was last heard.
+    /// The last contact with any instance of the zone.
     last_contact: Option<Millis>,
     capacity: Option<ZoneCapacity>,
-    /// The log's index of a grant or move that is not applied yet.
+    /// The log index of a proposed grant or move that may not be applied yet.
     pending_until: u64,
 }
 
-/// What a leader knows of the zones. It begins anew with each term.
+/// The leader's state about all zones. It starts empty with each term.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneSupervisor {
     leads_since: Millis,
@@ -48,12 +49,12 @@
 }
 
 impl ZoneSupervisor {
-    /// Begins a term. An earlier leader may have confirmed any allocator until just now.
+    /// Creates the state for a new term. An earlier leader may have confirmed any allocator until now.
     pub fn new(leads_since: Millis) -> ZoneSupervisor {
         ZoneSupervisor { leads_since, zones: BTreeMap::new() }
     }
 
-    /// Decides about a question of a zone's instance. The caller proposes a grant and then calls
+    /// Decides about a request of a zone's instance. The caller proposes a grant and then calls
     /// [`ZoneSupervisor::record_proposal`].
     pub fn handle_request(
         &mut self,
@@ -63,12 +64,12 @@
         request: &ZoneRequest,
     ) -> ZoneDecision {
         let leads_since = self.leads_since;
-        let view = self.zones.entry(request.zone.clone()).or_default();
-        view.last_contact = Some(now);
+        let state = self.zones.entry(request.zone.clone()).or_default();
+        state.last_contact = Some(now);
         if let Some((free, largest)) = request.capacity {
-            view.capacity = Some(ZoneCapacity { zone: request.zone.clone(), free, largest });
+            state.capacity = Some(ZoneCapacity { zone: request.zone.clone(), free, largest });
         }
-        if view.pending_until > cell.applied {
+        if state.pending_until > cell.applied {
             return ZoneDecision::Wait;
         }
         let grant = cell.zones.grant(&request.zone);
@@ -84,14 +85,14 @@
         match holder {
             None => grant_to(from),
             Some(h) if h == from && request.epoch == epoch => {
-                view.confirmed_at = Some(now);
+                state.confirmed_at = Some(now);
                 ZoneDecision::Confirm
             }
-            // The holder's process has restarted: it is the only one that could have acted on it.
+            // The holder's process has restarted; only that process could have used the epoch.
             Some(h) if h == from && request.epoch == Epoch(0) => grant_to(from),
             Some(h) if h == from => ZoneDecision::Wait,
             Some(_) => {
-                let since = view.confirmed_at.unwrap_or(leads_since).max(leads_since);
+                let since = state.confirmed_at.unwrap_or(leads_since).max(leads_since);
                 match now.since(since) > takeover_delay() {
                     true => grant_to(from),
                     false => ZoneDecision::Wait,
@@ -100,27 +101,27 @@
         }
     }
 
-    /// Notes that a grant or move of `zone` was proposed at `index`: its allocator is not confirmed
-    /// until that is applied.
+    /// Records that a grant or move of `zone` was proposed at `index`. Its allocator is not confirmed
+    /// until that entry is applied.
     pub fn record_proposal(&mut self, zone: &ZoneId, index: u64) {
-        let view = self.zones.entry(zone.clone()).or_default();
-        view.pending_until = view.pending_until.max(index);
+        let state = self.zones.entry(zone.clone()).or_default();
+        state.pending_until = state.pending_until.max(index);
     }
 
-    /// Gives the rooms of all zones that have told theirs.
+    /// Returns the capacities of all zones that have reported theirs.
     pub fn zone_capacities(&self) -> Vec<ZoneCapacity> {
         self.zones.values().filter_map(|v| v.capacity.clone()).collect()
     }
 
-    /// Gives the moves of movable tasks out of zones that have been silent for so long that their
-    /// leases have surely run out.
+    /// Returns the moves of movable tasks out of zones that have been silent for so long that their
+    /// leases have certainly expired.
     pub fn share_moves(&self, now: Millis, cell: &Cell) -> Vec<Command> {
         let worker_lease = cell.config.config.worker_lease;
         let silent = |zone: &ZoneId| {
-            let view = self.zones.get(zone);
-            let last_contact = view.and_then(|v| v.last_contact.max(v.confirmed_at));
+            let state = self.zones.get(zone);
+            let last_contact = state.and_then(|v| v.last_contact.max(v.confirmed_at));
             let since = last_contact.unwrap_or(self.leads_since).max(self.leads_since);
-            let changing = view.is_some_and(|v| v.pending_until > cell.applied);
+            let changing = state.is_some_and(|v| v.pending_until > cell.applied);
             !changing && now.since(since) > share_move_delay(worker_lease) + MOVE_GRACE
         };
         let silent_zones: Vec<&ZoneId> =
--- a/components/instance/tests/zone_supervisor.rs
+++ b/components/instance/tests/zone_supervisor.rs
@@ -1,4 +1,4 @@
-//! The leader grants zones and moves tasks only when earlier rights have surely run out.
+//! Tests that the leader grants zones and moves tasks only when earlier leases have certainly expired.
 
 use cell::{Cell, Command, Proposal, Share, ZoneCapacity};
 use clock::Millis;
@@ -33,8 +33,8 @@
     name.into()
 }
 
-/// One question after the zone was granted to "a" under epoch 5 and confirmed at START: who asks,
-/// allocating under which epoch, how much later, and whether it is granted, confirmed or put off.
+/// Defines tests of one request after the zone was granted to "a" under epoch 5 and confirmed at
+/// START: the sender, the epoch under which it allocates, the delay since START, and the decision.
 macro_rules! requests {
     ($($name:ident: $who:expr, $epoch:expr, $later:expr => $reply:ident;)*) => {$(
         #[test]
@@ -155,7 +155,7 @@
     let (cell, mut supervisor, surely_over) = cut_off_cell();
     supervisor.handle_request(surely_over, &cell, &id("b"), &request("zb", 2, 4));
     assert!(supervisor.share_moves(surely_over, &cell).is_empty());
-    // The zone's lease and the workers' run out one after the other.
+    // The workers' leases may expire a full lease after the zone's lease.
     let lease = cell.config.config.worker_lease;
     let least = lease_expiry_bound(Millis::ZERO, ZONE_LEASE_DURATION)
         + lease_expiry_bound(Millis::ZERO, lease);
