--- a/components/instance/src/callers.rs
+++ b/components/instance/src/callers.rs
@@ -65,9 +65,10 @@
     let shared = &service.shared;
     let _counted = InProgressGuard::new(shared);
     let started = Instant::now();
-    let longest = shared.settings.longest_request;
-    let whole = body.map_err(|e| format!("the body cannot be read completely: {e}"));
-    let incoming = match whole.and_then(|body| read_request(&req, body, shared.now(), longest)) {
+    let max_duration = shared.settings.longest_request;
+    let body = body.map_err(|e| format!("the body cannot be read completely: {e}"));
+    let incoming = match body.and_then(|body| read_request(&req, body, shared.now(), max_duration))
+    {
         Ok(incoming) => incoming,
         Err(fault) => {
             let id = header_text(&req, headers::REQUEST).unwrap_or_default();
@@ -162,9 +163,9 @@
                     refused(Refusal::Overloaded, RETRY_AFTER)
                 }
             };
-            let again = incoming.repeatable || may_have_run.is_none();
+            let may_repeat = incoming.repeatable || may_have_run.is_none();
             let now = self.shared.now();
-            if !again || !lock(&self.shared.request_plane).may_retry(now, &info) {
+            if !may_repeat || !lock(&self.shared.request_plane).may_retry(now, &info) {
                 return may_have_run.unwrap_or(refusal);
             }
         }
@@ -218,13 +219,14 @@
         let connections = request_connections(&config.config);
         let req = self.outgoing(incoming);
         let left = incoming.deadline.since(self.shared.now());
-        let begun = Instant::now();
+        let sent_at = Instant::now();
         let call = self.clients.call(&slot.upstream, addr, connections as usize, &req, left);
         let end = call.await;
         slot.ending = match &end {
-            CallEnd::Done { load, .. } => {
-                RequestOutcome::Answered { micros: begun.elapsed().as_micros() as u64, load: *load }
-            }
+            CallEnd::Done { load, .. } => RequestOutcome::Answered {
+                micros: sent_at.elapsed().as_micros() as u64,
+                load: *load,
+            },
             CallEnd::NotRun { connected: true, .. } => RequestOutcome::Busy,
             _ => RequestOutcome::Failed,
         };
--- a/components/instance/src/callers/incoming.rs
+++ b/components/instance/src/callers/incoming.rs
@@ -36,7 +36,7 @@
     req: &HttpRequest,
     body: Bytes,
     now: Millis,
-    longest: Millis,
+    max_duration: Millis,
 ) -> Result<Incoming, String> {
     let id = header_text(req, headers::REQUEST).unwrap_or_default();
     if id.is_empty() || id.len() > MAX_ID_BYTES {
@@ -65,7 +65,7 @@
         id: id.to_string(),
         caller: caller.to_string(),
         class,
-        deadline: now + wait.min(longest),
+        deadline: now + wait.min(max_duration),
         key,
         repeatable,
         forwarded,
--- a/components/instance/src/core.rs
+++ b/components/instance/src/core.rs
@@ -97,7 +97,7 @@
     reads: PendingReads,
     timers: Timers,
     self_messages: Vec<Message>,
-    handing_over: Option<oneshot::Sender<()>>,
+    handover_waiter: Option<oneshot::Sender<()>>,
     last_leader: Option<InstanceId>,
     /// The remaining number of requests to the zone's other instances for the events that they keep.
     copy_requests_left: u32,
@@ -146,7 +146,7 @@
             reads: PendingReads::default(),
             timers: Timers::default(),
             self_messages: Vec::new(),
-            handing_over: None,
+            handover_waiter: None,
             last_leader: None,
             copy_requests_left: MAX_COPY_REQUESTS,
             synced: 0,
@@ -240,7 +240,7 @@
         for action in actions {
             self.perform(now, action);
         }
-        self.reads.settle(now, self.cell.applied);
+        self.reads.complete_due(now, self.cell.applied);
     }
 
     /// Completes the changes forwarded to a leader that has changed: their outcome is unknown.
@@ -267,18 +267,18 @@
     /// Syncs changes and applies what was committed, until nothing further is committed.
     fn sync_and_apply(&mut self) -> Result<()> {
         loop {
-            let ahead = self.replica.take_ready_before_sync();
-            let mut again = !ahead.committed.is_empty();
-            self.process_flushed(ahead)?;
+            let ready = self.replica.take_ready_before_sync();
+            let mut more_committed = !ready.committed.is_empty();
+            self.process_flushed(ready)?;
             let flushed = self.replica.flush()?;
             self.synced += flushed.synced as u64;
-            again |= !flushed.committed.is_empty();
+            more_committed |= !flushed.committed.is_empty();
             self.process_flushed(flushed)?;
             for message in std::mem::take(&mut self.self_messages) {
                 let (now, id) = (self.now(), self.shared.id().clone());
                 self.on_message(now, id, message);
             }
-            if !again && self.self_messages.is_empty() {
+            if !more_committed && self.self_messages.is_empty() {
                 break;
             }
         }
--- a/components/instance/src/core/handover.rs
+++ b/components/instance/src/core/handover.rs
@@ -11,17 +11,17 @@
         if let Some(release) = self.role.release() {
             self.request_change(now, release);
         }
-        self.handing_over = Some(tx);
+        self.handover_waiter = Some(tx);
     }
 
     /// Hands over leadership once the release of the epoch is applied.
     pub(super) fn finish_handover(&mut self) {
-        let Some(tx) = self.handing_over.take() else { return };
+        let Some(tx) = self.handover_waiter.take() else { return };
         let now = self.now();
         let grant = self.cell.zones.grant(self.shared.zone());
         let holds = grant.is_some_and(|g| g.holder.as_ref() == Some(self.shared.id()));
         if holds && self.leader().is_some() && !tx.is_closed() {
-            self.handing_over = Some(tx);
+            self.handover_waiter = Some(tx);
             return;
         }
         self.replica.transfer_leadership(now);
--- a/components/instance/src/figures.rs
+++ b/components/instance/src/figures.rs
@@ -34,12 +34,12 @@
             figures.push(Figure::new(name, used as f64 / 10.0, "percent"));
         }
     }
-    figures.extend(process_cost());
+    figures.extend(process_usage());
     figures
 }
 
 /// Reads the memory and processor time that the process uses, as far as the system reports them.
-fn process_cost() -> Vec<Figure> {
+fn process_usage() -> Vec<Figure> {
     let mut figures = Vec::new();
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let resident = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
@@ -60,8 +60,8 @@
 
 fn processor_seconds() -> Option<f64> {
     let stat = std::fs::read_to_string("/proc/self/stat").ok()?;
-    let behind_name = stat.rsplit(')').next()?;
-    let fields: Vec<&str> = behind_name.split_whitespace().collect();
+    let after_name = stat.rsplit(')').next()?;
+    let fields: Vec<&str> = after_name.split_whitespace().collect();
     let ticks = fields.get(TIME_FIELDS)?.iter().map(|f| f.parse::<f64>().unwrap_or(0.0));
     Some(ticks.sum::<f64>() / TICKS_PER_SECOND)
 }
--- a/components/instance/src/job_views.rs
+++ b/components/instance/src/job_views.rs
@@ -10,7 +10,7 @@
 
 fn summary(core: &Core, job: &Job) -> pb::JobSummary {
     let ended = (job.done.len() + job.failed.len()) as u32;
-    let running = running_here(core, job);
+    let running = running_in_zone(core, job);
     pb::JobSummary {
         job: job_message(&job.spec),
         running,
@@ -26,7 +26,7 @@
 }
 
 /// Returns the number of tasks that run in this instance's zone, if it allocates there.
-fn running_here(core: &Core, job: &Job) -> u32 {
+fn running_in_zone(core: &Core, job: &Job) -> u32 {
     let Some(allocator) = core.role.allocator() else { return 0 };
     let task = |index| TaskId { job: job.spec.name.clone(), index };
     let shares = job.shares.iter().filter(|s| s.zone == *core.shared.zone());
--- a/components/instance/src/pending_changes.rs
+++ b/components/instance/src/pending_changes.rs
@@ -15,8 +15,8 @@
 /// earlier processes of this instance, so that a late reply to one of them is not mistaken for a
 /// reply to this process.
 pub(crate) fn first_token() -> u64 {
-    const QUESTIONS_PER_MILLISECOND: u32 = 20;
-    wall_now().0 << QUESTIONS_PER_MILLISECOND
+    const TOKEN_BITS_PER_MILLISECOND: u32 = 20;
+    wall_now().0 << TOKEN_BITS_PER_MILLISECOND
 }
 
 /// The receiver of an outcome.
--- a/components/instance/src/pending_reads.rs
+++ b/components/instance/src/pending_reads.rs
@@ -71,7 +71,7 @@
 
     /// Completes the reads that the state is recent enough for, and fails those that waited too long
     /// for their index.
-    pub(crate) fn settle(&mut self, now: Millis, applied: u64) {
+    pub(crate) fn complete_due(&mut self, now: Millis, applied: u64) {
         for (index, tx) in std::mem::take(&mut self.awaiting_apply) {
             if applied >= index {
                 let _ = tx.send(true);
--- a/components/instance/src/zone_role.rs
+++ b/components/instance/src/zone_role.rs
@@ -74,8 +74,8 @@
 
     /// Returns the request to send to the leader, if this instance participates.
     pub(crate) fn request(&self, now: Millis, applied: u64) -> Option<ZoneRequest> {
-        let takes_part = self.ignored_grants.is_some() && !self.stopping && !self.drained;
-        takes_part.then(|| ZoneRequest {
+        let participates = self.ignored_grants.is_some() && !self.stopping && !self.drained;
+        participates.then(|| ZoneRequest {
             zone: self.zone.clone(),
             epoch: self.epoch(),
             asked_at: now,
@@ -117,9 +117,9 @@
     pub(crate) fn follow_grant(&mut self, now: Millis, cell: &Cell) {
         let grant = cell.zones.grant(&self.zone);
         let epoch = grant.map_or(Epoch(0), |g| g.epoch);
-        let mine = grant.is_some_and(|g| g.holder.as_ref() == Some(&self.id));
-        let fresh = self.ignored_grants.is_some_and(|old| epoch.0 > old);
-        if !mine || !fresh || self.stopping || self.drained {
+        let is_holder = grant.is_some_and(|g| g.holder.as_ref() == Some(&self.id));
+        let is_new_grant = self.ignored_grants.is_some_and(|old| epoch.0 > old);
+        if !is_holder || !is_new_grant || self.stopping || self.drained {
             self.allocator = None;
             self.broker = None;
             return;
--- a/components/instance/tests/zone_supervisor.rs
+++ b/components/instance/tests/zone_supervisor.rs
@@ -129,7 +129,7 @@
     Command::CreateJob { spec, shares }
 }
 
-fn cut_off_cell() -> (Cell, ZoneSupervisor, Millis) {
+fn cell_with_silent_zone() -> (Cell, ZoneSupervisor, Millis) {
     let mut cell = Cell::default();
     grant(&mut cell, 1, "za", "a");
     grant(&mut cell, 2, "zb", "b");
@@ -143,29 +143,34 @@
 
 #[test]
 fn movable_tasks_of_a_silent_zone_move_and_others_stay() {
-    let (cell, mut supervisor, surely_over) = cut_off_cell();
-    supervisor.handle_request(surely_over + Millis(20_000), &cell, &id("b"), &request("zb", 2, 4));
-    let moves = supervisor.share_moves(surely_over + Millis(20_000), &cell);
+    let (cell, mut supervisor, leases_expired_at) = cell_with_silent_zone();
+    supervisor.handle_request(
+        leases_expired_at + Millis(20_000),
+        &cell,
+        &id("b"),
+        &request("zb", 2, 4),
+    );
+    let moves = supervisor.share_moves(leases_expired_at + Millis(20_000), &cell);
     let [Command::MoveShare { job, from, to, .. }] = &moves[..] else { panic!("{moves:?}") };
     assert_eq!((job.as_str(), from.as_str(), to.as_str()), ("moves", "za", "zb"));
 }
 
 #[test]
 fn nothing_moves_before_the_leases_have_surely_run_out() {
-    let (cell, mut supervisor, surely_over) = cut_off_cell();
-    supervisor.handle_request(surely_over, &cell, &id("b"), &request("zb", 2, 4));
-    assert!(supervisor.share_moves(surely_over, &cell).is_empty());
+    let (cell, mut supervisor, leases_expired_at) = cell_with_silent_zone();
+    supervisor.handle_request(leases_expired_at, &cell, &id("b"), &request("zb", 2, 4));
+    assert!(supervisor.share_moves(leases_expired_at, &cell).is_empty());
     // The workers' leases may expire a full lease after the zone's lease.
     let lease = cell.config.config.worker_lease;
     let least = lease_expiry_bound(Millis::ZERO, ZONE_LEASE_DURATION)
         + lease_expiry_bound(Millis::ZERO, lease);
-    assert!(surely_over.since(START) >= least);
+    assert!(leases_expired_at.since(START) >= least);
 }
 
 #[test]
 fn nothing_moves_while_any_instance_of_the_zone_is_heard() {
-    let (cell, mut supervisor, surely_over) = cut_off_cell();
-    let at = surely_over + Millis(20_000);
+    let (cell, mut supervisor, leases_expired_at) = cell_with_silent_zone();
+    let at = leases_expired_at + Millis(20_000);
     supervisor.handle_request(at, &cell, &id("b"), &request("zb", 2, 4));
     supervisor.handle_request(at, &cell, &id("a2"), &request("za", 0, 0));
     assert!(supervisor.share_moves(at, &cell).is_empty());
@@ -173,7 +178,7 @@
 
 #[test]
 fn rooms_are_those_last_told() {
-    let (_, supervisor, _) = cut_off_cell();
+    let (_, supervisor, _) = cell_with_silent_zone();
     let capacities: Vec<ZoneCapacity> = supervisor.zone_capacities();
     assert_eq!(capacities.len(), 1);
 }
