--- a/components/cell/src/state.rs
+++ b/components/cell/src/state.rs
@@ -8,67 +8,68 @@
 use model::{CellConfig, Epoch, InstanceId, JobName, JobSpec, Name, ZoneId};
 use serde::{Deserialize, Serialize};
 
-use crate::answers::{Answers, Known};
+use crate::reply_cache::{Lookup, ReplyCache};
 use crate::{Claims, Command, Job, JobState, Proposal, Reply, Share, TaskEnd, Zones};
 
-/// How many ended jobs are kept for operators to look at.
-const KEPT_ENDED: usize = 2_000;
+/// The number of ended jobs that are retained for operators to inspect. A greater number enlarges
+/// the state and its snapshots; with a smaller one ended jobs disappear from view sooner.
+const MAX_ENDED_JOBS: usize = 2_000;
 
-/// The configuration in force and the version that put it there.
+/// A configuration and its version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigVersion {
-    /// The log's index of the change; zero for the defaults.
+    /// The log index of the change; zero for the defaults.
     pub version: u64,
-    /// As its author wrote it.
+    /// The text as its author wrote it.
     pub text: Arc<str>,
-    /// Read and checked.
+    /// The parsed and validated configuration.
     pub config: Arc<CellConfig>,
 }
 
-/// Everything the zones agree on.
+/// The replicated state that all zones share.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cell {
-    /// The last applied command's index.
+    /// The index of the last applied log entry.
     pub applied: u64,
-    /// The highest wall clock any leader proposed with.
+    /// The highest wall-clock time of any applied proposal.
     pub time: Millis,
-    /// The configuration in force.
+    /// The active configuration.
     pub config: ConfigVersion,
-    /// All jobs that are active, and the last ended ones.
+    /// The active jobs and the most recently ended ones.
     pub jobs: BTreeMap<JobName, Job>,
-    /// Who allocates where.
+    /// The allocator of each zone.
     pub zones: Zones,
-    /// The claimed not repeatable requests.
+    /// The claimed non-repeatable requests.
     pub claims: Claims,
-    /// Instances and upstreams out of use.
+    /// The drained instances and upstreams.
     pub drained: BTreeSet<Name>,
-    /// Counts changes to jobs, so that a zone can tell whether to look again.
+    /// The index of the last change to any job, so that a zone can detect changes.
     pub jobs_version: u64,
-    ended: VecDeque<JobName>,
-    answers: Answers,
+    ended_jobs: VecDeque<JobName>,
+    reply_cache: ReplyCache,
 }
 
 impl Cell {
-    /// Applies one committed command.
+    /// Applies a committed command and returns its reply.
     pub fn apply(&mut self, index: u64, proposal: &Proposal) -> Reply {
         self.applied = index;
         self.time = self.time.max(proposal.at);
         let Some(key) = &proposal.key else {
-            return self.change(index, &proposal.command);
+            return self.apply_command(index, &proposal.command);
         };
-        let print = fingerprint(&proposal.command);
-        match self.answers.find(key, print) {
-            Known::Answered(reply) => reply,
-            Known::OtherCommand => conflict(0, "the request key was used for another call"),
-            Known::New => {
-                let reply = self.change(index, &proposal.command);
-                self.answers.keep(key.clone(), print, reply.clone());
+        let fingerprint = command_fingerprint(&proposal.command);
+        match self.reply_cache.find(key, fingerprint) {
+            Lookup::Cached(reply) => reply,
+            Lookup::DifferentCommand => conflict(0, "the request key was used for another call"),
+            Lookup::New => {
+                let reply = self.apply_command(index, &proposal.command);
+                self.reply_cache.insert(key.clone(), fingerprint, reply.clone());
                 reply
             }
         }
     }
 
-    /// Notes an entry that carries no command.
+    /// Records an entry that carries no command as applied.
     pub fn skip(&mut self, index: u64) {
         self.applied = index;
     }
@@ -78,10 +79,10 @@
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// Reads a state back. Nothing at all stands for the first, empty state.
+    /// Decodes a state. Empty input decodes to the initial, empty state.
     ///
     /// # Errors
-    /// [`Error::Decode`] if the bytes are not a state.
+    /// Returns [`Error::Decode`] if the bytes are not a valid state.
     pub fn decode(bytes: &[u8]) -> Result<Cell, Error> {
         if bytes.is_empty() {
             return Ok(Cell::default());
@@ -90,7 +91,7 @@
         decoded.map_err(|e| Error::Decode { what: "the cell state", reason: e.to_string() })
     }
 
-    fn change(&mut self, index: u64, command: &Command) -> Reply {
+    fn apply_command(&mut self, index: u64, command: &Command) -> Reply {
         match command {
             Command::ApplyConfig { base, text, config } => {
                 self.apply_config(index, *base, text, config)
@@ -148,7 +149,7 @@
         if job.is_active() {
             job.state = JobState::Cancelled;
             self.jobs_version = index;
-            self.note_ended(name.clone());
+            self.record_ended_job(name.clone());
         }
         Reply::Accepted { version: index }
     }
@@ -173,7 +174,7 @@
         if current != after {
             return conflict(current.0, "the zone's epoch has been granted since");
         }
-        self.zones.put(zone.clone(), Epoch(index), holder.clone());
+        self.zones.record_grant(zone.clone(), Epoch(index), holder.clone());
         Reply::Accepted { version: index }
     }
 
@@ -217,7 +218,7 @@
             let was_active = job.is_active();
             job.end_task(end.task.index, &end.outcome);
             if was_active && !job.is_active() {
-                self.note_ended(end.task.job.clone());
+                self.record_ended_job(end.task.job.clone());
             }
         }
         self.jobs_version = index;
@@ -243,10 +244,10 @@
         Reply::Accepted { version: index }
     }
 
-    fn note_ended(&mut self, name: JobName) {
-        self.ended.push_back(name);
-        while self.ended.len() > KEPT_ENDED {
-            if let Some(oldest) = self.ended.pop_front() {
+    fn record_ended_job(&mut self, name: JobName) {
+        self.ended_jobs.push_back(name);
+        while self.ended_jobs.len() > MAX_ENDED_JOBS {
+            if let Some(oldest) = self.ended_jobs.pop_front() {
                 self.jobs.remove(&oldest);
             }
         }
@@ -257,14 +258,14 @@
     Reply::Conflict { version, reason: reason.into() }
 }
 
-/// Tells a resend from another call under the same key.
-fn fingerprint(command: &Command) -> u32 {
-    // The shares are chosen by whoever leads, so they are no part of what the caller asked for.
-    let asked = match command {
+/// Returns a hash that distinguishes a retry from a different call with the same key.
+fn command_fingerprint(command: &Command) -> u32 {
+    // The leader chooses the shares, so they are not part of the caller's request.
+    let requested = match command {
         Command::CreateJob { spec, .. } => {
             Command::CreateJob { spec: spec.clone(), shares: Vec::new() }
         }
         other => other.clone(),
     };
-    crc32fast::hash(&postcard::to_allocvec(&asked).unwrap_or_default())
+    crc32fast::hash(&postcard::to_allocvec(&requested).unwrap_or_default())
 }
--- a/components/cell/tests/commands.rs
+++ b/components/cell/tests/commands.rs
@@ -1,4 +1,4 @@
-//! Operators' races and resends, claims, epochs, and that a state reads back as it was.
+//! Tests of concurrent changes and retries by operators, claims, epochs, and the state's encoding.
 
 use std::sync::Arc;
 
@@ -47,7 +47,7 @@
     assert_eq!(cell.config.config.upstream_slots, 8);
 }
 
-/// After how a first call a resend is made.
+/// Defines tests that retry a call after the given events.
 macro_rules! resends {
     ($($name:ident: $between:expr;)*) => {$(
         #[test]
@@ -58,7 +58,7 @@
             let between: fn(Cell) -> Cell = $between;
             let mut cell = between(cell);
             assert_eq!(cell.apply(90, &call), first, "a resend gets the first answer");
-            // A resend under another leader's clock is still the same call.
+            // A retry under another leader's clock is still the same call.
             let later = Proposal { at: Millis(NOW.0 + 1), ..call };
             assert_eq!(cell.apply(91, &later), first);
         }
@@ -108,7 +108,7 @@
     assert_eq!(cell.jobs[&"a".into()].zone_of(0), Some(&ZoneId::from("za")));
 }
 
-/// Claims of one key at different times: (issued, cell's time) and the reply wanted.
+/// Defines tests that claim one key at different times: (issued, cell's time) => expected reply.
 macro_rules! claims {
     ($($name:ident: [$(($issued:expr, $at:expr) => $reply:ident),*];)*) => {$(
         #[test]
@@ -195,7 +195,7 @@
     assert!(!accepted(&cell.apply(3, &propose(None, to_zb))));
 }
 
-fn room(zone: &str, free: u64, largest: u64) -> ZoneCapacity {
+fn capacity(zone: &str, free: u64, largest: u64) -> ZoneCapacity {
     ZoneCapacity {
         zone: zone.into(),
         free: Size::new(free, free, 0),
@@ -208,10 +208,10 @@
     let mut job = spec("j", 4);
     job.kind = JobKind::Gang;
     job.size = Size::new(8_000, 8_000, 0);
-    let rooms = [room("za", 90_000, 4_000), room("zb", 10_000, 16_000)];
-    let shares = assign(&job, &rooms).unwrap();
+    let capacities = [capacity("za", 90_000, 4_000), capacity("zb", 10_000, 16_000)];
+    let shares = assign(&job, &capacities).unwrap();
     assert_eq!(shares, [Share { zone: "zb".into(), first: 0, count: 4 }]);
-    assert_eq!(choose_target_zone(&job, &"zb".into(), &rooms), None);
+    assert_eq!(choose_target_zone(&job, &"zb".into(), &capacities), None);
 }
 
 #[test]
@@ -219,8 +219,9 @@
     let mut job = spec("s", 7);
     job.kind = JobKind::Service;
     job.spread = Spread::Zone;
-    let rooms = [room("za", 9_000, 9_000), room("zb", 9_000, 9_000), room("zc", 9_000, 9_000)];
-    let mut counts: Vec<u32> = assign(&job, &rooms).unwrap().iter().map(|s| s.count).collect();
+    let capacities =
+        [capacity("za", 9_000, 9_000), capacity("zb", 9_000, 9_000), capacity("zc", 9_000, 9_000)];
+    let mut counts: Vec<u32> = assign(&job, &capacities).unwrap().iter().map(|s| s.count).collect();
     counts.sort_unstable();
     assert_eq!(counts, [2, 2, 3]);
 }
@@ -249,8 +250,8 @@
 }
 
 proptest! {
-    /// Every instance gets the same state, whether it applies all commands or starts from a
-    /// snapshot between any two.
+    /// Every instance computes the same state, whether it applies all commands or starts from a
+    /// snapshot taken between any two of them.
     #[test]
     fn a_snapshot_between_any_two_commands_changes_nothing(
         commands in proptest::collection::vec((any_command(), 0u64..4), 1..60),
@@ -270,7 +271,7 @@
         prop_assert_eq!(whole, cut);
     }
 
-    /// The configuration's version only grows, whatever is proposed.
+    /// The configuration's version never decreases, whatever is proposed.
     #[test]
     fn the_configuration_never_goes_back(
         commands in proptest::collection::vec(any_command(), 1..80),
--- a/components/instance/src/callers/responses.rs
+++ b/components/instance/src/callers/responses.rs
@@ -1,13 +1,13 @@
-//! Answers as callers get them.
+//! HTTP responses to callers.
 
 use model::{Answer, Refusal};
 use ntex::http::StatusCode;
 use ntex::web::HttpResponse;
 use upstream::headers;
 
-use super::incoming::MAX_ID;
+use super::incoming::MAX_ID_BYTES;
 
-/// Writes the answer to a request.
+/// Builds the response to a request.
 pub(super) fn respond(id: &str, answer: Answer) -> HttpResponse {
     let (status, outcome) = match &answer {
         Answer::Done(_) => (StatusCode::OK, "done"),
@@ -31,12 +31,12 @@
     response.header(headers::BODY_LENGTH, body.len().to_string()).body(body)
 }
 
-/// Writes the answer to a request that cannot be read; `fault` is for its caller.
+/// Builds the response to a malformed request; `fault` is a message for its caller.
 pub(super) fn malformed(id: &str, fault: &str) -> HttpResponse {
     let mut response = HttpResponse::build(StatusCode::BAD_REQUEST);
     response.header(headers::OUTCOME, "refused");
     response.header(headers::REASON, Refusal::Malformed.as_str());
-    if !id.is_empty() && id.len() <= MAX_ID {
+    if !id.is_empty() && id.len() <= MAX_ID_BYTES {
         response.header(headers::REQUEST, id);
     }
     response.header(headers::BODY_LENGTH, fault.len().to_string()).body(fault.to_string())
--- a/components/instance/src/core/changes.rs
+++ b/components/instance/src/core/changes.rs
@@ -1,4 +1,4 @@
-//! Changes that calls and the zone's allocator ask for: sent to the leader, or proposed by it.
+//! Changes requested by calls and by the zone's allocator: forwarded to the leader, or proposed by it.
 
 use cell::{Command, Proposal, Reply};
 use clock::{Millis, wall_now};
@@ -8,87 +8,88 @@
 
 use super::Core;
 use crate::message::{Change, Message, Outcome};
-use crate::pending_changes::Asker;
+use crate::pending_changes::Requester;
 
 impl Core {
     pub(super) fn on_change(&mut self, now: Millis, change: Change, tx: oneshot::Sender<Outcome>) {
         match self.leader() {
             Some(leader) if leader == *self.shared.id() => {
-                self.propose_change(now, change, Asker::Here(tx));
+                self.propose_change(now, change, Requester::Here(tx));
             }
             Some(leader) => {
                 let token = self.forwarded.add(now, tx);
                 self.send(&leader, Message::Change { token, change });
             }
             None => {
-                // The caller may have gone.
+                // The caller may have disconnected.
                 let _ = tx.send(Outcome::Refused { reason: "no leader is known".into() });
             }
         }
     }
 
-    /// Asks the leader for a change whose outcome shows in the state.
-    pub(super) fn ask_for(&mut self, now: Millis, command: Command) {
+    /// Requests a change from the leader without waiting for the outcome, which shows in the state.
+    pub(super) fn request_change(&mut self, now: Millis, command: Command) {
         let change = Change::Command { key: None, command };
         match self.leader() {
             Some(leader) if leader == *self.shared.id() => {
-                self.propose_change(now, change, Asker::Nobody);
+                self.propose_change(now, change, Requester::Nobody);
             }
             Some(leader) => {
-                let token = self.forwarded.add_silent();
+                let token = self.forwarded.next_token();
                 self.send(&leader, Message::Change { token, change });
             }
             None => {}
         }
     }
 
-    pub(super) fn answer(&mut self, asker: Asker, outcome: Outcome) {
-        match asker {
-            Asker::Here(tx) => {
-                // The caller may have gone.
+    pub(super) fn answer(&mut self, requester: Requester, outcome: Outcome) {
+        match requester {
+            Requester::Here(tx) => {
+                // The caller may have disconnected.
                 let _ = tx.send(outcome);
             }
-            Asker::Peer(id, token) => self.send(&id, Message::Changed { token, outcome }),
-            Asker::Nobody => {}
+            Requester::Peer(id, token) => self.send(&id, Message::Changed { token, outcome }),
+            Requester::Nobody => {}
         }
     }
 
-    pub(super) fn propose_change(&mut self, now: Millis, change: Change, asker: Asker) {
+    pub(super) fn propose_change(&mut self, now: Millis, change: Change, requester: Requester) {
         let (key, command) = match change {
             Change::Command { key, command } => (key, command),
-            Change::CreateJob { key, spec } => match self.place_job(&spec) {
+            Change::CreateJob { key, spec } => match self.choose_shares(&spec) {
                 Ok(shares) => (Some(key), Command::CreateJob { spec, shares }),
-                Err(outcome) => return self.answer(asker, outcome),
+                Err(outcome) => return self.answer(requester, outcome),
             },
             Change::Member { id, role } => {
                 let outcome = match self.replica.change_member(now, &id, role) {
                     Ok(()) => Outcome::Applied(Reply::Accepted {
                         version: self.replica.node().last_index(),
                     }),
-                    Err(e) => Outcome::Refused { reason: change_fault(&e) },
+                    Err(e) => Outcome::Refused { reason: change_error_reason(&e) },
                 };
-                return self.answer(asker, outcome);
+                return self.answer(requester, outcome);
             }
         };
         let proposal = Proposal { key, at: wall_now(), command };
         let data = match postcard::to_allocvec(&proposal) {
             Ok(data) => data,
             Err(e) => {
-                let reason = format!("cannot be written: {e}").into();
-                return self.answer(asker, Outcome::Invalid { reason });
+                let reason = format!("the command cannot be encoded: {e}").into();
+                return self.answer(requester, Outcome::Invalid { reason });
             }
         };
         match self.replica.propose(now, data.into()) {
-            Ok((index, term)) => self.in_log.add(index, term, asker),
+            Ok((index, term)) => self.proposed_changes.add(index, term, requester),
             Err(_) => {
-                let reason = "this instance does not lead, or too much is under way".into();
-                self.answer(asker, Outcome::Refused { reason });
+                let reason =
+                    "this instance is not the leader, or too many changes are pending".into();
+                self.answer(requester, Outcome::Refused { reason });
             }
         }
     }
 
-    /// Chooses the zones of a new job, or says that it can never run.
-    fn place_job(&self, spec: &model::JobSpec) -> Result<Vec<cell::Share>, Outcome> {
+    /// Chooses the zones of a new job. Returns an error if no known worker can ever run it.
+    fn choose_shares(&self, spec: &model::JobSpec) -> Result<Vec<cell::Share>, Outcome> {
         let rooms = self.zone_supervisor.zone_capacities();
         let all_known = rooms.len() == self.cell.zones.iter().count();
         let fits = rooms.iter().any(|r| spec.size.fits(&r.largest));
@@ -96,16 +97,16 @@
             let reason = format!("can never run: no worker of any zone holds {}", spec.size);
             return Err(Outcome::Invalid { reason: reason.into() });
         }
-        let none = Outcome::Refused { reason: "no zone has told its room yet".into() };
+        let none = Outcome::Refused { reason: "no zone has reported its capacity yet".into() };
         cell::assign(spec, &rooms).ok_or(none)
     }
 }
 
-fn change_fault(e: &ChangeError) -> Name {
+fn change_error_reason(e: &ChangeError) -> Name {
     match e {
-        ChangeError::NotLeader(_) => "this instance does not lead".into(),
-        ChangeError::Busy => "an earlier change of members is under way".into(),
-        ChangeError::Unknown => "the instance has not been heard from".into(),
+        ChangeError::NotLeader(_) => "this instance is not the leader".into(),
+        ChangeError::Busy => "an earlier membership change is in progress".into(),
+        ChangeError::Unknown => "there was no contact with the instance".into(),
         ChangeError::NoVoter => "the change would leave no voter".into(),
     }
 }
--- a/components/instance/src/core/event_logging.rs
+++ b/components/instance/src/core/event_logging.rs
@@ -1,4 +1,4 @@
-//! What the core tells the journal.
+//! Events that the core writes to the journal.
 
 use events::{Subject, kinds};
 use zone::{AllocatorEvent, Authority};
@@ -7,7 +7,7 @@
 use crate::shared::lock;
 
 impl Core {
-    pub(super) fn note_right(&self, change: Option<Authority>) {
+    pub(super) fn log_authority_change(&self, change: Option<Authority>) {
         let zone = self.shared.zone();
         let journal = &self.shared.journal;
         match change {
@@ -16,7 +16,7 @@
                 journal.record(&kinds::ZONE_LEASE_HELD, Subject::default(), text);
             }
             Some(Authority::ZoneOnly) => {
-                let text = format!("zone {zone}: its other instances pledge not to allocate");
+                let text = format!("zone {zone}: its other instances commit not to allocate");
                 journal.record(&kinds::ZONE_LEASE_LOST, Subject::default(), text);
             }
             Some(Authority::RenewOnly) => {
@@ -27,11 +27,11 @@
         }
     }
 
-    pub(super) fn note_zone(&self, note: AllocatorEvent) {
+    pub(super) fn log_allocator_event(&self, event: AllocatorEvent) {
         let journal = &self.shared.journal;
-        match note {
+        match event {
             AllocatorEvent::WorkerReported { worker, adopted } => {
-                let text = format!("{worker} reported, {adopted} of its tasks were taken over");
+                let text = format!("{worker} reported, {adopted} of its tasks were adopted");
                 journal.record(&kinds::WORKER_REPORTED, Subject::default(), text);
             }
             AllocatorEvent::WorkerLost { worker } => {
@@ -57,7 +57,7 @@
                 journal.record(&kinds::TASK_ENDED, Subject::task(&task), text);
             }
             AllocatorEvent::TaskEvicted { task } => {
-                journal.record(&kinds::TASK_EVICTED, Subject::task(&task), "makes room");
+                journal.record(&kinds::TASK_EVICTED, Subject::task(&task), "to free capacity");
             }
             AllocatorEvent::JobUnschedulable { job, reason } => {
                 journal.record(&kinds::JOB_HOPELESS, Subject::job(&job), reason.to_string());
--- a/components/instance/src/core/reads.rs
+++ b/components/instance/src/core/reads.rs
@@ -1,5 +1,4 @@
-//! Reads that must hold every change accepted before them, and how far this process has to catch up
-//! before it is ready.
+//! Linearizable reads, and the log index up to which this process has to catch up before it is ready.
 
 use clock::Millis;
 use events::{Subject, kinds};
@@ -9,26 +8,26 @@
 use crate::message::Message;
 
 impl Core {
-    /// Gives the entry up to which a state holds every accepted change, if this instance surely
-    /// leads. What is committed in a batch of inputs is applied only at its end, so that this may lie
-    /// ahead of the state.
-    pub(super) fn certain_index(&self, now: Millis) -> Option<u64> {
+    /// Returns the index up to which a state holds every accepted change, if this instance certainly
+    /// leads. Entries committed during a batch of inputs are applied only at its end, so the index may
+    /// be ahead of the state.
+    pub(super) fn confirmed_index(&self, now: Millis) -> Option<u64> {
         let node = self.replica.node();
         node.holds_lease(now).then(|| node.commit())
     }
 
     pub(super) fn on_read(&mut self, now: Millis, tx: oneshot::Sender<bool>) {
         match self.leader() {
-            Some(leader) if leader == *self.shared.id() => match self.certain_index(now) {
+            Some(leader) if leader == *self.shared.id() => match self.confirmed_index(now) {
                 Some(index) => self.reads.wait_for(index, tx),
                 None => {
-                    // The caller may have gone.
+                    // The caller may have disconnected.
                     let _ = tx.send(false);
                 }
             },
             Some(leader) => {
-                let token = self.reads.ask(now, tx);
-                self.send(&leader, Message::ReadAsk { token });
+                let token = self.reads.request_index(now, tx);
+                self.send(&leader, Message::ReadIndexRequest { token });
             }
             None => {
                 let _ = tx.send(false);
@@ -36,17 +35,17 @@
         }
     }
 
-    /// Asks the leader how far the log is committed. Only an answer to this process's own question
-    /// tells that; a heartbeat may be late, or come from a leader that does not know yet.
-    pub(super) fn ask_barrier(&mut self, now: Millis) {
+    /// Requests the commit index from the leader. Only a reply to this process's own request is
+    /// reliable; a heartbeat may be delayed, or come from a leader that does not know the index yet.
+    pub(super) fn request_barrier(&mut self, now: Millis) {
         match self.leader() {
             Some(leader) if leader == *self.shared.id() => {
-                let index = self.certain_index(now);
-                self.reads.pass_barrier(index);
+                let index = self.confirmed_index(now);
+                self.reads.set_barrier_index(index);
             }
             Some(leader) => {
-                let token = self.reads.ask_barrier();
-                self.send(&leader, Message::ReadAsk { token });
+                let token = self.reads.request_barrier();
+                self.send(&leader, Message::ReadIndexRequest { token });
             }
             None => {}
         }
--- a/components/instance/src/figures.rs
+++ b/components/instance/src/figures.rs
@@ -1,17 +1,25 @@
-//! The figures that operators are shown.
+//! The figures (gauges) that the status call reports.
 
 use metrics::Figure;
 
 use crate::core::Core;
 use crate::shared::lock;
 
-/// Gives the figures of an instance and of its process.
+/// Returns the figures of an instance and of its process.
 pub(crate) fn figures(core: &Core) -> Vec<Figure> {
     let mut figures = lock(&core.shared.timings).figures();
-    let plane = lock(&core.shared.plane);
-    figures.push(Figure::new("requests_under_way", f64::from(plane.under_way()), "requests"));
-    figures.push(Figure::new("requests_queued", plane.router().waiting() as f64, "requests"));
-    drop(plane);
+    let request_plane = lock(&core.shared.request_plane);
+    figures.push(Figure::new(
+        "requests_under_way",
+        f64::from(request_plane.in_progress()),
+        "requests",
+    ));
+    figures.push(Figure::new(
+        "requests_queued",
+        request_plane.router().waiting() as f64,
+        "requests",
+    ));
+    drop(request_plane);
     figures.push(Figure::new("log_entries", core.replica.node().log_len() as f64, "entries"));
     figures.push(Figure::new("records_synced", core.synced as f64, "records"));
     figures.push(Figure::new("request_claims", core.cell.claims.len() as f64, "claims"));
@@ -26,12 +34,12 @@
             figures.push(Figure::new(name, used as f64 / 10.0, "percent"));
         }
     }
-    figures.extend(process_cost());
+    figures.extend(process_usage());
     figures
 }
 
-/// Reads what the process itself has used, as far as the system tells.
-fn process_cost() -> Vec<Figure> {
+/// Reads the memory and processor time that the process uses, as far as the system reports them.
+fn process_usage() -> Vec<Figure> {
     let mut figures = Vec::new();
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let resident = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
@@ -45,15 +53,15 @@
     figures
 }
 
-/// The system counts processor time in hundredths of a second.
+/// The unit in which the system counts processor time: hundredths of a second.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// The fields behind the command's name that hold user and system time.
+/// The fields after the command's name that hold user and system time.
 const TIME_FIELDS: std::ops::Range<usize> = 11..13;
 
 fn processor_seconds() -> Option<f64> {
     let stat = std::fs::read_to_string("/proc/self/stat").ok()?;
-    let behind_name = stat.rsplit(')').next()?;
-    let fields: Vec<&str> = behind_name.split_whitespace().collect();
+    let after_name = stat.rsplit(')').next()?;
+    let fields: Vec<&str> = after_name.split_whitespace().collect();
     let ticks = fields.get(TIME_FIELDS)?.iter().map(|f| f.parse::<f64>().unwrap_or(0.0));
     Some(ticks.sum::<f64>() / TICKS_PER_SECOND)
 }
--- a/components/instance/src/server.rs
+++ b/components/instance/src/server.rs
@@ -1,4 +1,4 @@
-//! Starting an instance, running it, and its planned stop.
+//! The start of an instance, its main loop, and its planned stop.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -21,15 +21,15 @@
 use crate::shared::{Shared, lock};
 use crate::worker_calls::make_calls;
 
-/// How often a failed core or a stop is looked for.
-const WATCH_EVERY: Wait = Wait(200);
-/// How long handing over the epoch and leadership may take in a planned stop.
-const HAND_OVER: Wait = Wait(2_000);
+/// The interval at which a failed core or a stop signal is checked for.
+const WATCH_INTERVAL: Wait = Wait(200);
+/// The maximum time for handing over the epoch and leadership in a planned stop.
+const MAX_HANDOVER_WAIT: Wait = Wait(2_000);
 
-/// Runs an instance until it is told to stop.
+/// Runs an instance until it receives a signal to stop.
 ///
 /// # Errors
-/// If it cannot start, or if its disk fails while it runs.
+/// Returns an error if the instance cannot start, or if its disk fails while it runs.
 pub fn run(settings: Settings) -> Result<()> {
     let callers = bind(settings.own.callers)?;
     let operators = bind(settings.operators)?;
@@ -42,7 +42,7 @@
     let core = Core::new(Parts {
         replica: disk.replica,
         cell: disk.cell,
-        in_force_file: disk.in_force_file,
+        active_config_file: disk.active_config_file,
         links,
         workers: calls_tx,
         shared: shared.clone(),
@@ -54,9 +54,10 @@
     spawn("workers", move || {
         runtime("workers").block_on(make_calls(calls_rx, platform, to_core));
     })?;
-    let front = shared.clone();
-    let served = runtime("servers")
-        .block_on(async move { serve(front, core_tx, callers, operators, stop, failed).await });
+    let server_shared = shared.clone();
+    let served = runtime("servers").block_on(async move {
+        serve(server_shared, core_tx, callers, operators, stop, failed).await
+    });
     let ended = core_thread.join();
     shared.journal.record(&kinds::INSTANCE_STOPPED, Subject::default(), "stopped");
     ended.map_err(|_| Error::Refused("the core has failed".into()))?;
@@ -79,11 +80,11 @@
     builder.spawn(f).map_err(|e| Error::Refused(format!("cannot start a thread: {e}")))
 }
 
-/// Gives a flag that a signal to stop sets.
+/// Returns a flag that SIGTERM or SIGINT sets.
 fn watch_signals() -> Result<Arc<AtomicBool>> {
     let stop = Arc::new(AtomicBool::new(false));
     let mut signals = Signals::new([SIGTERM, SIGINT])
-        .map_err(|e| Error::Refused(format!("cannot take in signals: {e}")))?;
+        .map_err(|e| Error::Refused(format!("cannot register signal handlers: {e}")))?;
     let flag = stop.clone();
     spawn("signals", move || {
         for _ in signals.forever() {
@@ -114,33 +115,33 @@
     );
     shared.journal.record(&kinds::INSTANCE_STARTED, Subject::default(), text);
     while !stop.load(Ordering::SeqCst) && !failed.load(Ordering::SeqCst) {
-        sleep(WATCH_EVERY).await;
+        sleep(WATCH_INTERVAL).await;
     }
     if failed.load(Ordering::SeqCst) {
         return Err(Error::Refused("the disk has failed; the process stops".into()));
     }
-    wind_down(&shared, &core).await;
+    stop_gracefully(&shared, &core).await;
     http.stop(true).await;
     grpc.stop(true).await;
-    // The core may have failed meanwhile.
+    // The core may have failed in the meantime.
     let _ = core.send(Input::Stop);
     Ok(())
 }
 
-/// The planned stop: the balancer is told first, then the epoch and leadership are handed over,
-/// then nothing new is taken, and what runs is finished.
-async fn wind_down(shared: &Arc<Shared>, core: &Sender<Input>) {
+/// Performs the planned stop: notifies the balancer, hands over the epoch and leadership, then
+/// refuses new requests and waits for those in progress.
+async fn stop_gracefully(shared: &Arc<Shared>, core: &Sender<Input>) {
     shared.journal.record(&kinds::INSTANCE_STOPPING, Subject::default(), "told to stop");
     shared.set_stopping();
     sleep(Wait(shared.settings.drain_notice.0 as u32)).await;
     let (tx, rx) = oneshot::channel();
-    if core.send(Input::HandOver { tx }).is_ok() {
-        // Without a leader there is nobody to hand over to.
-        let _ = ntex::time::timeout(HAND_OVER, rx).await;
+    if core.send(Input::Handover { tx }).is_ok() {
+        // Without a leader there is no instance to hand over to.
+        let _ = ntex::time::timeout(MAX_HANDOVER_WAIT, rx).await;
     }
     shared.set_closed();
     let latest = shared.now() + shared.settings.longest_request;
-    while lock(&shared.plane).under_way() > 0 && shared.now() < latest {
-        sleep(WATCH_EVERY).await;
+    while lock(&shared.request_plane).in_progress() > 0 && shared.now() < latest {
+        sleep(WATCH_INTERVAL).await;
     }
 }
--- a/components/instance/src/zone_role.rs
+++ b/components/instance/src/zone_role.rs
@@ -1,4 +1,4 @@
-//! This instance's part in its zone: asking for the epoch, and allocating while it holds it.
+//! This instance's role in its zone: it requests the epoch, and allocates while it holds it.
 
 use std::collections::BTreeSet;
 
@@ -18,19 +18,19 @@
     zone: ZoneId,
     id: InstanceId,
     longest_request: Millis,
-    /// Grants up to this one belong to an earlier process of this instance.
-    old_grants: Option<u64>,
+    /// Grants up to this epoch belong to an earlier process of this instance and are ignored.
+    ignored_grants: Option<u64>,
     allocator: Option<Allocator>,
     broker: Option<Broker>,
     lease: ZoneLease,
-    pledges: PeerCommitments,
-    pledged: OwnCommitment,
+    peer_commitments: PeerCommitments,
+    own_commitment: OwnCommitment,
     /// The zone's other instances.
-    mates: BTreeSet<InstanceId>,
-    right: Authority,
+    zone_peers: BTreeSet<InstanceId>,
+    authority: Authority,
     list: PlatformList,
     stopping: bool,
-    /// Whether operators have taken this instance out of use.
+    /// Whether operators have drained this instance.
     drained: bool,
 }
 
@@ -38,30 +38,30 @@
     pub(crate) fn new(
         zone: ZoneId,
         id: InstanceId,
-        mates: BTreeSet<InstanceId>,
+        zone_peers: BTreeSet<InstanceId>,
         longest_request: Millis,
     ) -> ZoneRole {
         ZoneRole {
             zone,
             id,
             longest_request,
-            old_grants: None,
+            ignored_grants: None,
             allocator: None,
             broker: None,
             lease: ZoneLease::default(),
-            pledges: PeerCommitments::default(),
-            pledged: OwnCommitment::default(),
-            mates,
-            right: Authority::RenewOnly,
+            peer_commitments: PeerCommitments::default(),
+            own_commitment: OwnCommitment::default(),
+            zone_peers,
+            authority: Authority::RenewOnly,
             list: PlatformList::default(),
             stopping: false,
             drained: false,
         }
     }
 
-    /// Notes that this process knows the cell as of `applied`: it acts on later grants only.
+    /// Records that this process knows the cell as of `applied`. It acts on later grants only.
     pub(crate) fn ready(&mut self, applied: u64) {
-        self.old_grants.get_or_insert(applied);
+        self.ignored_grants.get_or_insert(applied);
     }
 
     pub(crate) fn allocator(&self) -> Option<&Allocator> {
@@ -72,60 +72,63 @@
         self.allocator.as_ref().map_or(Epoch(0), Allocator::epoch)
     }
 
-    /// Gives what to tell the leader, if this instance takes part.
-    pub(crate) fn ask(&self, now: Millis, applied: u64) -> Option<ZoneRequest> {
-        let takes_part = self.old_grants.is_some() && !self.stopping && !self.drained;
-        takes_part.then(|| ZoneRequest {
+    /// Returns the request to send to the leader, if this instance participates.
+    pub(crate) fn request(&self, now: Millis, applied: u64) -> Option<ZoneRequest> {
+        let participates = self.ignored_grants.is_some() && !self.stopping && !self.drained;
+        participates.then(|| ZoneRequest {
             zone: self.zone.clone(),
             epoch: self.epoch(),
             asked_at: now,
             applied,
-            capacity: self.room(),
+            capacity: self.capacity(),
         })
     }
 
-    /// An instance that does not allocate knows only what the platform lists.
-    fn room(&self) -> Option<(Size, Size)> {
-        let room = self.allocator.as_ref()?.free_capacity();
-        Some((room.free, room.largest))
+    /// Returns the zone's free capacity and its largest worker. An instance that does not allocate only
+    /// knows the platform's list.
+    fn capacity(&self) -> Option<(Size, Size)> {
+        let capacity = self.allocator.as_ref()?.free_capacity();
+        Some((capacity.free, capacity.largest))
     }
 
     pub(crate) fn confirm(&mut self, epoch: Epoch, asked_at: Millis, last_index: u64) {
         self.lease.confirm(epoch, asked_at, last_index);
     }
 
-    /// Tells whether this instance allocates and wants its zone's others not to, because it does not
-    /// hear from the leader.
-    pub(crate) fn wants_pledges(&self) -> bool {
-        self.allocator.is_some() && self.right != Authority::Full
+    /// Returns whether this instance allocates and needs the commitments of its zone's other instances
+    /// not to allocate, because the leader does not confirm its lease.
+    pub(crate) fn needs_commitments(&self) -> bool {
+        self.allocator.is_some() && self.authority != Authority::Full
     }
 
-    /// Gives a pledge not to allocate for a while to the allocator of `epoch`, if that is the newest.
-    pub(crate) fn pledge(&mut self, now: Millis, epoch: Epoch, cell: &Cell) -> bool {
-        self.allocator.is_none() && self.pledged.give(now, epoch, cell.zones.epoch(&self.zone))
+    /// Commits not to allocate for a while to the allocator of `epoch`, if that epoch is the newest.
+    /// Returns whether the commitment is given.
+    pub(crate) fn give_commitment(&mut self, now: Millis, epoch: Epoch, cell: &Cell) -> bool {
+        self.allocator.is_none()
+            && self.own_commitment.give(now, epoch, cell.zones.epoch(&self.zone))
     }
 
-    pub(crate) fn take_pledge(&mut self, epoch: Epoch, mate: &InstanceId, asked_at: Millis) {
-        self.pledges.note(epoch, mate, asked_at);
+    pub(crate) fn record_commitment(&mut self, epoch: Epoch, peer: &InstanceId, asked_at: Millis) {
+        self.peer_commitments.note(epoch, peer, asked_at);
     }
 
-    /// Looks at the zone's grant, and starts or ends allocating. A grant that was not acted on
-    /// because of a pledge is acted on later.
+    /// Starts or ends allocating according to the zone's grant. A grant that is held back by a
+    /// commitment takes effect later.
     pub(crate) fn follow_grant(&mut self, now: Millis, cell: &Cell) {
         let grant = cell.zones.grant(&self.zone);
         let epoch = grant.map_or(Epoch(0), |g| g.epoch);
-        let mine = grant.is_some_and(|g| g.holder.as_ref() == Some(&self.id));
-        let fresh = self.old_grants.is_some_and(|old| epoch.0 > old);
-        if !mine || !fresh || self.stopping || self.drained {
+        let is_holder = grant.is_some_and(|g| g.holder.as_ref() == Some(&self.id));
+        let is_new_grant = self.ignored_grants.is_some_and(|old| epoch.0 > old);
+        if !is_holder || !is_new_grant || self.stopping || self.drained {
             self.allocator = None;
             self.broker = None;
             return;
         }
-        if self.epoch() == epoch || !self.pledged.is_over(now) {
+        if self.epoch() == epoch || !self.own_commitment.is_over(now) {
             return;
         }
-        self.right = Authority::RenewOnly;
-        let mut instances = self.mates.clone();
+        self.authority = Authority::RenewOnly;
+        let mut instances = self.zone_peers.clone();
         instances.insert(self.id.clone());
         self.broker = Some(Broker::new(now, epoch, self.longest_request, instances));
         let cfg = allocator_config(self.zone.clone(), epoch, cell);
@@ -138,7 +141,7 @@
         self.allocator = Some(allocator);
     }
 
-    /// Takes in a state that was replaced as a whole.
+    /// Reloads the jobs and the drained names after the state was replaced by a snapshot.
     pub(crate) fn reload(&mut self, now: Millis, cell: &Cell) {
         self.follow_grant(now, cell);
         let Some(allocator) = &mut self.allocator else { return };
@@ -149,13 +152,13 @@
         allocator.set_drained(&cell.drained);
     }
 
-    /// Takes in a command that the cell has applied.
+    /// Updates the allocator after the cell has applied a command.
     pub(crate) fn applied(&mut self, now: Millis, cell: &Cell, command: &Command) {
         let zone = self.zone.clone();
         let Some(allocator) = &mut self.allocator else { return };
         match command {
-            Command::CreateJob { spec, .. } => take(allocator, now, cell.jobs.get(&spec.name)),
-            Command::MoveShare { job, .. } => take(allocator, now, cell.jobs.get(job)),
+            Command::CreateJob { spec, .. } => apply_job(allocator, now, cell.jobs.get(&spec.name)),
+            Command::MoveShare { job, .. } => apply_job(allocator, now, cell.jobs.get(job)),
             Command::CancelJob { name } => allocator.remove_job(now, name),
             Command::EndTasks { zone: z, ended, .. } if *z == zone => {
                 allocator.on_tasks_ended(ended)
@@ -179,21 +182,21 @@
         self.list = list;
     }
 
-    /// Lets time pass and gives what the allocator wants done, and its right if that has changed.
+    /// Advances the time. Returns the allocator's actions, and its authority if that has changed.
     pub(crate) fn tick(&mut self, now: Millis, cell: &Cell) -> (Vec<Action>, Option<Authority>) {
         self.follow_grant(now, cell);
         let Some(allocator) = &mut self.allocator else { return (Vec::new(), None) };
         let epoch = allocator.epoch();
-        let right = if self.lease.holds(now, epoch, cell.applied) {
+        let authority = if self.lease.holds(now, epoch, cell.applied) {
             Authority::Full
-        } else if self.pledges.hold(now, epoch, &self.mates) {
+        } else if self.peer_commitments.hold(now, epoch, &self.zone_peers) {
             Authority::ZoneOnly
         } else {
             Authority::RenewOnly
         };
-        let changed = (right != self.right).then_some(right);
-        self.right = right;
-        (allocator.tick(now, right), changed)
+        let changed = (authority != self.authority).then_some(authority);
+        self.authority = authority;
+        (allocator.tick(now, authority), changed)
     }
 
     pub(crate) fn on_reply(
@@ -209,41 +212,43 @@
         }
     }
 
-    /// Answers a demand. Without the right to start tasks another instance may lend already.
+    /// Answers a demand. Without the authority to start tasks it returns `None`, because another
+    /// instance may already lend.
     pub(crate) fn lend(&mut self, now: Millis, demand: &Demand, pool: u32) -> Option<Loan> {
-        if self.right == Authority::RenewOnly {
+        if self.authority == Authority::RenewOnly {
             return None;
         }
         self.broker.as_mut()?.answer(now, demand, pool)
     }
 
-    /// Takes in whether operators have taken this instance out of use; it gives the zone back then.
+    /// Records whether operators have drained this instance. Returns the release of the epoch if so.
     pub(crate) fn set_drained(&mut self, drained: bool) -> Option<Command> {
         self.drained = drained;
-        if drained { self.give_back() } else { None }
+        if drained { self.release_epoch() } else { None }
     }
 
-    /// Gives the zone back for a planned stop.
+    /// Releases the zone for a planned stop.
     pub(crate) fn release(&mut self) -> Option<Command> {
         self.stopping = true;
-        self.give_back()
+        self.release_epoch()
     }
 
-    /// Ends allocating at once: nothing is told to workers from now on.
-    fn give_back(&mut self) -> Option<Command> {
+    /// Ends allocating immediately: nothing more is sent to workers.
+    fn release_epoch(&mut self) -> Option<Command> {
         let epoch = self.allocator.take()?.epoch();
         self.broker = None;
         Some(Command::ReleaseEpoch { zone: self.zone.clone(), epoch })
     }
 }
 
-fn take(allocator: &mut Allocator, now: Millis, job: Option<&Job>) {
+fn apply_job(allocator: &mut Allocator, now: Millis, job: Option<&Job>) {
     if let Some(job) = job {
         allocator.apply_job(now, job);
     }
 }
 
-/// An organisation's ceiling is cut equally over the zones, so that the sum holds without asking.
+/// Returns the allocator's configuration. An organisation's quota is divided equally among the zones,
+/// so that the total holds without coordination.
 fn allocator_config(zone: ZoneId, epoch: Epoch, cell: &Cell) -> AllocatorConfig {
     let config = &cell.config.config;
     let zones = cell.zones.iter().count().max(1) as u64;
--- a/components/instance/tests/zone_supervisor.rs
+++ b/components/instance/tests/zone_supervisor.rs
@@ -1,4 +1,4 @@
-//! The leader grants zones and moves tasks only when earlier rights have surely run out.
+//! Tests that the leader grants zones and moves tasks only when earlier leases have certainly expired.
 
 use cell::{Cell, Command, Proposal, Share, ZoneCapacity};
 use clock::Millis;
@@ -33,9 +33,9 @@
     name.into()
 }
 
-/// One question after the zone was granted to "a" under epoch 5 and confirmed at START: who asks,
-/// allocating under which epoch, how much later, and whether it is granted, confirmed or put off.
-macro_rules! asks {
+/// Defines tests of one request after the zone was granted to "a" under epoch 5 and confirmed at
+/// START: the sender, the epoch under which it allocates, the delay since START, and the decision.
+macro_rules! requests {
     ($($name:ident: $who:expr, $epoch:expr, $later:expr => $reply:ident;)*) => {$(
         #[test]
         fn $name() {
@@ -49,7 +49,7 @@
     )*};
 }
 
-asks! {
+requests! {
     the_holder_goes_on: "a", 5, Millis(500) => Confirm;
     the_holder_goes_on_after_a_long_silence: "a", 5, Millis(60_000) => Confirm;
     the_holder_restarted_gets_a_new_epoch: "a", 0, Millis(500) => Grant;
@@ -129,7 +129,7 @@
     Command::CreateJob { spec, shares }
 }
 
-fn cut_off_cell() -> (Cell, ZoneSupervisor, Millis) {
+fn cell_with_silent_zone() -> (Cell, ZoneSupervisor, Millis) {
     let mut cell = Cell::default();
     grant(&mut cell, 1, "za", "a");
     grant(&mut cell, 2, "zb", "b");
@@ -143,29 +143,34 @@
 
 #[test]
 fn movable_tasks_of_a_silent_zone_move_and_others_stay() {
-    let (cell, mut supervisor, surely_over) = cut_off_cell();
-    supervisor.handle_request(surely_over + Millis(20_000), &cell, &id("b"), &request("zb", 2, 4));
-    let moves = supervisor.share_moves(surely_over + Millis(20_000), &cell);
+    let (cell, mut supervisor, leases_expired_at) = cell_with_silent_zone();
+    supervisor.handle_request(
+        leases_expired_at + Millis(20_000),
+        &cell,
+        &id("b"),
+        &request("zb", 2, 4),
+    );
+    let moves = supervisor.share_moves(leases_expired_at + Millis(20_000), &cell);
     let [Command::MoveShare { job, from, to, .. }] = &moves[..] else { panic!("{moves:?}") };
     assert_eq!((job.as_str(), from.as_str(), to.as_str()), ("moves", "za", "zb"));
 }
 
 #[test]
 fn nothing_moves_before_the_leases_have_surely_run_out() {
-    let (cell, mut supervisor, surely_over) = cut_off_cell();
-    supervisor.handle_request(surely_over, &cell, &id("b"), &request("zb", 2, 4));
-    assert!(supervisor.share_moves(surely_over, &cell).is_empty());
-    // The zone's lease and the workers' run out one after the other.
+    let (cell, mut supervisor, leases_expired_at) = cell_with_silent_zone();
+    supervisor.handle_request(leases_expired_at, &cell, &id("b"), &request("zb", 2, 4));
+    assert!(supervisor.share_moves(leases_expired_at, &cell).is_empty());
+    // The workers' leases may expire a full lease after the zone's lease.
     let lease = cell.config.config.worker_lease;
     let least = lease_expiry_bound(Millis::ZERO, ZONE_LEASE_DURATION)
         + lease_expiry_bound(Millis::ZERO, lease);
-    assert!(surely_over.since(START) >= least);
+    assert!(leases_expired_at.since(START) >= least);
 }
 
 #[test]
 fn nothing_moves_while_any_instance_of_the_zone_is_heard() {
-    let (cell, mut supervisor, surely_over) = cut_off_cell();
-    let at = surely_over + Millis(20_000);
+    let (cell, mut supervisor, leases_expired_at) = cell_with_silent_zone();
+    let at = leases_expired_at + Millis(20_000);
     supervisor.handle_request(at, &cell, &id("b"), &request("zb", 2, 4));
     supervisor.handle_request(at, &cell, &id("a2"), &request("za", 0, 0));
     assert!(supervisor.share_moves(at, &cell).is_empty());
@@ -173,7 +178,7 @@
 
 #[test]
 fn rooms_are_those_last_told() {
-    let (_, supervisor, _) = cut_off_cell();
-    let rooms: Vec<ZoneCapacity> = supervisor.zone_capacities();
-    assert_eq!(rooms.len(), 1);
+    let (_, supervisor, _) = cell_with_silent_zone();
+    let capacities: Vec<ZoneCapacity> = supervisor.zone_capacities();
+    assert_eq!(capacities.len(), 1);
 }
