--- a/components/testkit/examples/platform.rs
+++ b/components/testkit/examples/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's list of workers: it gives out a file, read anew for each call.
+//! A simulated platform API that lists the workers: it serves a file, which it reads again for each request.
 
 use std::path::PathBuf;
 
@@ -9,9 +9,9 @@
 struct Flags {
     #[options(help = "print this help")]
     help: bool,
-    #[options(no_short, required, help = "where to listen, ip:port")]
+    #[options(no_short, required, help = "address to listen on, ip:port")]
     listen: String,
-    #[options(no_short, required, help = "the file with the list, as JSON")]
+    #[options(no_short, required, help = "JSON file with the list of workers")]
     list: PathBuf,
 }
 
--- a/components/testkit/examples/worker.rs
+++ b/components/testkit/examples/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's worker: it takes calls of an allocator, and runs requests.
+//! A simulated platform worker: it accepts the sync calls of an allocator and runs requests.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -12,30 +12,36 @@
 use testkit::{RecordKind, Recorder, WorkerConfig, WorkerCore};
 use upstream::{MAX_BODY_BYTES, SyncRequest, headers};
 
+/// How long a request runs if it does not say so itself, in milliseconds.
 const DEFAULT_WORK_MS: u32 = 5;
-const LONGEST_WORK_MS: u32 = 60_000;
+/// The longest run time that a request may ask for, in milliseconds.
+const MAX_WORK_MS: u32 = 60_000;
 
 #[derive(Debug, Options)]
 struct Flags {
     #[options(help = "print this help")]
     help: bool,
-    #[options(no_short, required, help = "this worker's name")]
+    #[options(no_short, required, help = "name of this worker")]
     name: String,
-    #[options(no_short, required, help = "where to listen, ip:port")]
+    #[options(no_short, required, help = "address to listen on, ip:port")]
     listen: String,
-    #[options(no_short, default = "16000", help = "processors in thousandths of a core")]
+    #[options(no_short, default = "16000", help = "CPU in thousandths of a core")]
     cpu_milli: u64,
     #[options(no_short, default = "32768", help = "memory in megabytes")]
     memory_mb: u64,
-    #[options(no_short, default = "0", help = "accelerators")]
+    #[options(no_short, default = "0", help = "number of accelerators")]
     accelerators: u64,
-    #[options(no_short, default = "8", help = "requests handled at once")]
+    #[options(no_short, default = "8", help = "maximum number of concurrent requests")]
     slots: u32,
-    #[options(no_short, default = "100", help = "real run time in percent of what is declared")]
+    #[options(
+        no_short,
+        default = "100",
+        help = "actual run time of tasks in percent of the declared one"
+    )]
     run_percent: u64,
     #[options(no_short, help = "fail every task")]
     fail_tasks: bool,
-    #[options(no_short, help = "a file to write records to")]
+    #[options(no_short, help = "file to append records to")]
     records: Option<PathBuf>,
 }
 
@@ -52,10 +58,10 @@
     }
 }
 
-/// Counts a request out when it ends, also when its connection was closed.
-struct Busy(Arc<Worker>);
+/// A guard that decrements the number of busy slots when a request ends, also if its connection was closed.
+struct BusySlot(Arc<Worker>);
 
-impl Drop for Busy {
+impl Drop for BusySlot {
     fn drop(&mut self) {
         self.0.busy.fetch_sub(1, Ordering::SeqCst);
     }
@@ -80,7 +86,7 @@
     let id = header(&req, headers::REQUEST).to_string();
     let key = header(&req, headers::KEY).to_string();
     let load = worker.busy.fetch_add(1, Ordering::SeqCst) + 1;
-    let _busy = Busy(worker.get_ref().clone());
+    let _busy = BusySlot(worker.get_ref().clone());
     let leaving = worker.core().is_leaving();
     if load > worker.slots || leaving {
         let mut refusal = HttpResponse::ServiceUnavailable();
@@ -94,8 +100,8 @@
     let name = if key.is_empty() { caller } else { format!("key:{key}") };
     worker.core().note(RecordKind::Request, &name, u64::from(load));
     let work = header(&req, headers::WORK_TIME).parse().unwrap_or(DEFAULT_WORK_MS);
-    // Tokio's timer is good to a millisecond, ntex's to about sixteen.
-    tokio::time::sleep(Millis(u64::from(work.min(LONGEST_WORK_MS))).duration()).await;
+    // Tokio's timer has a resolution of one millisecond, ntex's of about 16.
+    tokio::time::sleep(Millis(u64::from(work.min(MAX_WORK_MS))).duration()).await;
     worker.core().note(RecordKind::Answer, &name, u64::from(load));
     let mut answer = b"ran:".to_vec();
     answer.extend_from_slice(&body);
--- a/components/testkit/src/http.rs
+++ b/components/testkit/src/http.rs
@@ -1,34 +1,34 @@
-//! Just enough of HTTP/1.1, written by hand so that stand-ins can break it where a test wants them to.
+//! A minimal HTTP/1.1 implementation, hand-written so that test doubles can violate the protocol on purpose.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// A request or an answer as it stands on the wire.
+/// An HTTP request or response as it is on the wire.
 #[derive(Clone, Debug, Default)]
 pub struct Wire {
-    /// The request line or status line.
+    /// The request line or the status line.
     pub first_line: String,
-    /// The headers, with their names in small letters.
+    /// The headers by lower-case name.
     pub headers: BTreeMap<String, String>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Wire {
-    /// Gives a header, or nothing.
+    /// Returns the value of a header, or an empty string if it is missing.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 
-    /// Gives an answer's status, or zero.
+    /// Returns the status code of a response, or zero if there is none.
     pub fn status(&self) -> u32 {
         self.first_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 }
 
-/// Reads one message, or gives nothing if the connection ends first.
+/// Reads one message. Returns `None` if the connection ends before the message is complete.
 pub fn read_wire(stream: &mut TcpStream) -> Option<Wire> {
     let mut head = Vec::new();
     let mut byte = [0];
@@ -51,10 +51,10 @@
     Some(Wire { first_line, headers, body })
 }
 
-/// Writes one message.
+/// Writes one message, with its `content-length`.
 ///
 /// # Errors
-/// If the connection has ended.
+/// Returns an error if the connection is closed.
 pub fn write_wire(
     stream: &mut TcpStream,
     first_line: &str,
@@ -70,16 +70,16 @@
     stream.write_all(body)
 }
 
-/// Makes one call on a connection of its own; gives `None` if there is no whole answer in time.
+/// Makes one call on a new connection. Returns `None` if it fails; `timeout` bounds the connect and each read.
 pub fn call(
     addr: SocketAddr,
     first_line: &str,
     headers: &[(&str, String)],
     body: &[u8],
-    limit: Duration,
+    timeout: Duration,
 ) -> Option<Wire> {
-    let mut stream = TcpStream::connect_timeout(&addr, limit).ok()?;
-    stream.set_read_timeout(Some(limit)).ok()?;
+    let mut stream = TcpStream::connect_timeout(&addr, timeout).ok()?;
+    stream.set_read_timeout(Some(timeout)).ok()?;
     write_wire(&mut stream, first_line, headers, body).ok()?;
     read_wire(&mut stream)
 }
--- a/components/testkit/src/lib.rs
+++ b/components/testkit/src/lib.rs
@@ -1,4 +1,4 @@
-//! Small stand-ins for what belongs to the platform: the worker and the list of workers.
+//! Test doubles of the platform's parts: workers and the connections to them, with records of what they ran.
 
 mod http;
 mod platform_worker;
--- a/components/testkit/src/platform_worker.rs
+++ b/components/testkit/src/platform_worker.rs
@@ -1,9 +1,9 @@
-//! A stand-in for a worker of the users' platform, written from its published pages: it starts, stops
-//! and lists runs under a lease, keeps out lower fences, and announces itself.
+//! A simulated worker of the users' platform, written from the platform's published documentation: it starts, stops
+//! and lists runs under a lease, rejects calls with a lower fence, and announces itself.
 //!
-//! When it crashes, another life follows, which holds and knows nothing of the one before. It bears a new id, or, where
-//! the worker keeps its id, the same one: then it says when it was born, and its counts and its clock begin anew.
-//! Connections end with the life that they were made to.
+//! After a crash a new incarnation follows, which has no state of the previous one. It has a new id, or, if the worker
+//! keeps its id, the same one: then it reports when it was born, and its sequence numbers and its clock start again.
+//! Connections end with the incarnation that accepted them.
 
 use std::collections::BTreeMap;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -18,55 +18,60 @@
 use crate::proxy::Proxy;
 use crate::run_log::{RunLog, RunRecord};
 
-/// How long an announcement may take to be acknowledged.
-const ACK_LIMIT: Duration = Duration::from_secs(1);
-/// How long a worker is down after it has crashed.
-const DOWN: Duration = Duration::from_millis(500);
+/// The timeout for the acknowledgement of an announcement.
+const ACK_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a worker is down after a task has crashed it.
+const CRASH_DOWNTIME: Duration = Duration::from_millis(500);
 
+/// A running task.
 struct Run {
     number: u64,
     ends_at: Instant,
-    /// When it ends the worker's life, if it does.
+    /// When it crashes the worker, if it does.
     crashes_at: Option<Instant>,
-    /// Whether it fails in the end, as its job's text may ask for.
+    /// Whether it ends as failed, which the job's spec may request.
     fails: bool,
     cpu: u64,
+    /// Its index in the log of runs.
     record: usize,
 }
 
-/// One life of a worker.
-struct Inside {
-    /// How many lives there were before this one.
-    life: u32,
-    /// When it began, by the worker's steady clock.
-    began: Instant,
-    /// When it began, in milliseconds since 1970.
+/// The state of one incarnation of a worker.
+struct WorkerState {
+    /// The number of earlier incarnations.
+    incarnation: u32,
+    /// When it started, by the monotonic clock.
+    started_at: Instant,
+    /// When it started, in milliseconds since the Unix epoch.
     born: u64,
-    /// Until when the worker is down.
+    /// Until when the worker is down, if it follows a crash.
     down_until: Option<Instant>,
-    /// Whether it has said that it leaves.
+    /// Whether it announces that it is leaving.
     leaving: bool,
-    /// What the worker has, in thousandths of a core.
+    /// The worker's CPU, in thousandths of a core.
     cpu: u64,
-    /// What its next life will have.
+    /// The CPU of its next incarnation, in thousandths of a core.
     next_cpu: u64,
+    /// The highest fence of any call; calls with a lower one are rejected.
     fence: u64,
+    /// When the lease expires, by the worker's clock in milliseconds.
     lease: u64,
     running: BTreeMap<String, Run>,
-    /// The highest run of each task that was stopped or has ended.
-    closed: BTreeMap<String, u64>,
+    /// The highest run number of each task that has ended or was stopped.
+    highest_closed: BTreeMap<String, u64>,
+    /// The ended runs that are not acknowledged yet: number of the end, task, run and ending.
     finished: Vec<(u64, String, u64, &'static str)>,
     last_number: u64,
     overcommits: usize,
     crashes: usize,
 }
 
-impl Inside {
-    /// The first life of a worker.
-    fn first(cpu: u64) -> Inside {
-        Inside {
-            life: 0,
-            began: Instant::now(),
+impl WorkerState {
+    /// Returns the first incarnation of a worker.
+    fn first(cpu: u64) -> WorkerState {
+        WorkerState {
+            incarnation: 0,
+            started_at: Instant::now(),
             born: wall_ms(),
             down_until: None,
             leaving: false,
@@ -75,7 +80,7 @@
             fence: 0,
             lease: 0,
             running: BTreeMap::new(),
-            closed: BTreeMap::new(),
+            highest_closed: BTreeMap::new(),
             finished: Vec::new(),
             last_number: 0,
             overcommits: 0,
@@ -83,24 +88,24 @@
         }
     }
 
-    /// The life after this one, which begins once the worker has been down for a while.
-    fn next(&self, down: Duration) -> Inside {
-        let began = Instant::now() + down;
-        Inside {
-            life: self.life + 1,
-            began,
-            // Two lives never begin in the same millisecond.
+    /// Returns the incarnation after this one, which starts after the worker was down for a time.
+    fn next(&self, down: Duration) -> WorkerState {
+        let started_at = Instant::now() + down;
+        WorkerState {
+            incarnation: self.incarnation + 1,
+            started_at,
+            // Each incarnation must have a later birth time than the one before, also within one millisecond.
             born: (wall_ms() + down.as_millis() as u64).max(self.born + 1),
-            down_until: Some(began),
+            down_until: Some(started_at),
             overcommits: self.overcommits,
             crashes: self.crashes + 1,
-            ..Inside::first(self.next_cpu)
+            ..WorkerState::first(self.next_cpu)
         }
     }
 
-    /// Gives the worker's clock, which begins anew with each life.
+    /// Returns the worker's clock in milliseconds, which restarts with each incarnation.
     fn clock(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
     fn is_down(&self) -> bool {
@@ -112,18 +117,18 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
 
-/// What a worker has, and how its runs go.
+/// The capacity of a worker and the behaviour of its runs.
 #[derive(Clone, Debug)]
 pub struct PlatformWorkerConfig {
     /// Its id.
     pub id: String,
     /// The service that it belongs to.
     pub service: String,
-    /// Thousandths of a core.
+    /// Its CPU, in thousandths of a core.
     pub cpu: u64,
-    /// How long every run takes.
+    /// The duration of each run.
     pub work: Duration,
-    /// Whether each of its lives bears the same id, and says when it was born.
+    /// Whether all its incarnations have the same id and report when they were born.
     pub keeps_id: bool,
 }
 
@@ -131,26 +136,26 @@
     cfg: PlatformWorkerConfig,
     addr: SocketAddr,
     proxy: Proxy,
-    inside: Mutex<Inside>,
+    state: Mutex<WorkerState>,
     changed: Condvar,
-    /// The connections to the life under way.
-    streams: Mutex<Vec<TcpStream>>,
+    /// The connections to the current incarnation.
+    connections: Mutex<Vec<TcpStream>>,
     log: RunLog,
     stop: AtomicBool,
 }
 
-/// A running stand-in. It ends with the last of its clones.
+/// A running simulated worker. It stops when the last clone is dropped.
 #[derive(Clone)]
 pub struct PlatformWorker(Arc<Handle>);
 
-/// Ends the stand-in's threads once nobody has it any more.
+/// Stops the threads of the simulated worker when it is dropped.
 struct Handle(Arc<Shared>);
 
 impl PlatformWorker {
     /// Starts a worker that announces itself to the control addresses.
     ///
     /// # Errors
-    /// If no port can be had.
+    /// Returns an error if no port can be bound.
     pub fn start(
         cfg: PlatformWorkerConfig,
         controls: Vec<SocketAddr>,
@@ -161,46 +166,46 @@
         let shared = Arc::new(Shared {
             addr,
             proxy: Proxy::start(addr)?,
-            inside: Mutex::new(Inside::first(cfg.cpu)),
+            state: Mutex::new(WorkerState::first(cfg.cpu)),
             changed: Condvar::new(),
-            streams: Mutex::default(),
+            connections: Mutex::default(),
             cfg,
             log,
             stop: AtomicBool::new(false),
         });
-        let (serving, beating, living) = (shared.clone(), shared.clone(), shared.clone());
+        let (serving, announcing, lifecycle) = (shared.clone(), shared.clone(), shared.clone());
         thread::spawn(move || accept(&listener, &serving));
-        thread::spawn(move || announce(&beating, &controls));
-        thread::spawn(move || live(&living));
+        thread::spawn(move || announce(&announcing, &controls));
+        thread::spawn(move || run_lifecycle(&lifecycle));
         Ok(PlatformWorker(Arc::new(Handle(shared))))
     }
 
-    /// Gives the proxy that stands between the worker and everybody who calls it.
+    /// Returns the proxy through which all calls to the worker pass.
     pub fn proxy(&self) -> &Proxy {
         &self.0.0.proxy
     }
 
-    /// Ends the life under way with all that runs; the next one begins after a while.
+    /// Crashes the worker with all its runs; the next incarnation starts after `down`.
     pub fn restart(&self, down: Duration) {
         self.0.0.crash(&mut self.0.0.lock(), down);
     }
 
-    /// Has the life under way say that it leaves.
+    /// Lets the current incarnation announce that it is leaving.
     pub fn leave(&self) {
         self.0.0.lock().leaving = true;
     }
 
-    /// Has the worker's next life begin with more or less than this one, in thousandths of a core.
+    /// Sets the CPU of the worker's next incarnation, in thousandths of a core.
     pub fn resize(&self, cpu: u64) {
         self.0.0.lock().next_cpu = cpu;
     }
 
-    /// Gives how often the worker has crashed.
+    /// Returns how often the worker has crashed or was restarted.
     pub fn crashes(&self) -> usize {
         self.0.0.lock().crashes
     }
 
-    /// Gives how often more ran than the worker has.
+    /// Returns how often a start exceeded the worker's CPU.
     pub fn overcommits(&self) -> usize {
         self.0.0.lock().overcommits
     }
@@ -209,82 +214,84 @@
 impl Drop for Handle {
     fn drop(&mut self) {
         self.0.stop.store(true, Ordering::SeqCst);
-        // The listener's thread looks up once somebody connects.
+        // The listener's thread blocks in `accept`; a connection wakes it up.
         let _ = TcpStream::connect(self.0.addr);
     }
 }
 
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Inside> {
-        self.inside.lock().unwrap_or_else(|e| e.into_inner())
+    fn lock(&self) -> MutexGuard<'_, WorkerState> {
+        self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    fn stopped(&self) -> bool {
+    fn is_stopped(&self) -> bool {
         self.stop.load(Ordering::SeqCst)
     }
 
-    /// Gives the id that a life bears.
-    fn id_of(&self, life: u32) -> String {
-        match (life, self.cfg.keeps_id) {
+    /// Returns the id of an incarnation.
+    fn incarnation_id(&self, incarnation: u32) -> String {
+        match (incarnation, self.cfg.keeps_id) {
             (0, _) | (_, true) => self.cfg.id.clone(),
-            _ => format!("{}-{life}", self.cfg.id),
+            _ => format!("{}-{incarnation}", self.cfg.id),
         }
     }
 
-    /// Gives the name of a life in the log of runs, which no other life bears.
-    fn recorded_as(&self, life: u32) -> String {
-        format!("{}#{life}", self.cfg.id)
+    /// Returns the name of an incarnation in the log of runs, which is unique to it.
+    fn log_name(&self, incarnation: u32) -> String {
+        format!("{}#{incarnation}", self.cfg.id)
     }
 
-    /// Ends the life under way with all that runs and with its connections; another one follows, which knows nothing
-    /// of it.
-    fn crash(&self, inside: &mut Inside, down: Duration) {
+    /// Ends the current incarnation with all its runs and connections; the next one starts after `down` without
+    /// any of its state.
+    fn crash(&self, state: &mut WorkerState, down: Duration) {
         let now = Instant::now();
         let mut log = self.log.lock();
-        for run in inside.running.values() {
+        for run in state.running.values() {
             log.runs[run.record].to = Some((now, "gone"));
         }
-        log.lapses.push((self.recorded_as(inside.life), now));
+        log.lapses.push((self.log_name(state.incarnation), now));
         drop(log);
-        *inside = inside.next(down);
-        for stream in self.streams.lock().unwrap_or_else(|e| e.into_inner()).drain(..) {
-            // It may have ended by itself.
+        *state = state.next(down);
+        for stream in self.connections.lock().unwrap_or_else(|e| e.into_inner()).drain(..) {
+            // The connection may be closed already.
             let _ = stream.shutdown(Shutdown::Both);
         }
         self.changed.notify_all();
     }
 
-    fn end(&self, inside: &mut Inside, task: &str, how: &'static str) {
-        let Some(run) = inside.running.remove(task) else { return };
-        self.log.lock().runs[run.record].to = Some((Instant::now(), how));
-        inside.last_number += 1;
-        inside.finished.push((inside.last_number, task.to_string(), run.number, how));
-        inside.closed.insert(task.to_string(), run.number);
+    /// Ends a run and queues its end for the next renewal.
+    fn end(&self, state: &mut WorkerState, task: &str, ending: &'static str) {
+        let Some(run) = state.running.remove(task) else { return };
+        self.log.lock().runs[run.record].to = Some((Instant::now(), ending));
+        state.last_number += 1;
+        state.finished.push((state.last_number, task.to_string(), run.number, ending));
+        state.highest_closed.insert(task.to_string(), run.number);
         self.changed.notify_all();
     }
 
-    fn start_run(&self, inside: &mut Inside, body: &Value) -> (u16, Value) {
-        let clock = inside.clock();
+    /// Handles a call to start a run.
+    fn start_run(&self, state: &mut WorkerState, body: &Value) -> (u16, Value) {
+        let clock = state.clock();
         let (task, run) = (text(body, "task"), number(body, "run"));
         let refuse = |why: &str| (409, json!({"clock_ms": clock, "reason": why}));
-        if number(body, "fence") < inside.fence {
+        if number(body, "fence") < state.fence {
             return refuse("fence");
         }
-        inside.fence = number(body, "fence");
-        if inside.running.get(&task).is_some_and(|r| r.number == run) {
+        state.fence = number(body, "fence");
+        if state.running.get(&task).is_some_and(|r| r.number == run) {
             return (200, json!({"clock_ms": clock}));
         }
-        if inside.closed.get(&task).is_some_and(|closed| run <= *closed) {
+        if state.highest_closed.get(&task).is_some_and(|highest_closed| run <= *highest_closed) {
             return refuse("old");
         }
         if number(body, "deadline_ms") <= clock {
             return refuse("late");
         }
-        inside.lease = inside.lease.max(number(body, "deadline_ms"));
+        state.lease = state.lease.max(number(body, "deadline_ms"));
         let record = RunRecord {
             task: task.clone(),
             run,
-            worker: self.recorded_as(inside.life),
+            worker: self.log_name(state.incarnation),
             from: Instant::now(),
             to: None,
         };
@@ -301,96 +308,104 @@
             record: log.runs.len() - 1,
         };
         drop(log);
-        inside.running.insert(task, run);
-        if inside.running.values().map(|r| r.cpu).sum::<u64>() > inside.cpu {
-            inside.overcommits += 1;
+        state.running.insert(task, run);
+        if state.running.values().map(|r| r.cpu).sum::<u64>() > state.cpu {
+            state.overcommits += 1;
         }
         (200, json!({"clock_ms": clock}))
     }
 
-    fn stop_run(&self, inside: &mut Inside, body: &Value) -> (u16, Value) {
-        let clock = inside.clock();
+    /// Handles a call to stop a run.
+    fn stop_run(&self, state: &mut WorkerState, body: &Value) -> (u16, Value) {
+        let clock = state.clock();
         let (task, run) = (text(body, "task"), number(body, "run"));
-        if number(body, "fence") < inside.fence {
+        if number(body, "fence") < state.fence {
             return (409, json!({"clock_ms": clock, "reason": "fence"}));
         }
-        inside.fence = number(body, "fence");
-        if inside.running.get(&task).is_some_and(|r| r.number <= run) {
-            self.end(inside, &task, "stopped");
+        state.fence = number(body, "fence");
+        if state.running.get(&task).is_some_and(|r| r.number <= run) {
+            self.end(state, &task, "stopped");
         }
-        let closed = inside.closed.entry(task).or_default();
-        *closed = run.max(*closed);
+        let highest_closed = state.highest_closed.entry(task).or_default();
+        *highest_closed = run.max(*highest_closed);
         (200, json!({"clock_ms": clock}))
     }
 
-    /// Answers a renewal, unless the worker crashes while it waits.
-    fn hold(&self, mut inside: MutexGuard<'_, Inside>, body: &Value) -> Option<(u16, Value)> {
-        if number(body, "fence") < inside.fence {
-            return Some((409, json!({"clock_ms": inside.clock(), "reason": "fence"})));
+    /// Handles a renewal of the lease, which waits for an ended run. Returns `None` if the worker crashes meanwhile.
+    fn renew_lease(
+        &self,
+        mut state: MutexGuard<'_, WorkerState>,
+        body: &Value,
+    ) -> Option<(u16, Value)> {
+        if number(body, "fence") < state.fence {
+            return Some((409, json!({"clock_ms": state.clock(), "reason": "fence"})));
         }
-        inside.fence = number(body, "fence");
-        inside.lease = inside.lease.max(number(body, "deadline_ms"));
+        state.fence = number(body, "fence");
+        state.lease = state.lease.max(number(body, "deadline_ms"));
         let seen = number(body, "last_seen");
-        inside.finished.retain(|(n, ..)| *n > seen);
+        state.finished.retain(|(n, ..)| *n > seen);
         let until = Instant::now() + Duration::from_millis(number(body, "wait_ms"));
-        let life = inside.life;
-        while inside.finished.is_empty() && inside.life == life && Instant::now() < until {
+        let incarnation = state.incarnation;
+        while state.finished.is_empty()
+            && state.incarnation == incarnation
+            && Instant::now() < until
+        {
             let left = until.saturating_duration_since(Instant::now());
-            let woken = self.changed.wait_timeout(inside, left);
-            inside = woken.map_or_else(|e| e.into_inner().0, |(guard, _)| guard);
+            let waited = self.changed.wait_timeout(state, left);
+            state = waited.map_or_else(|e| e.into_inner().0, |(guard, _)| guard);
         }
-        if inside.life != life {
+        if state.incarnation != incarnation {
             return None;
         }
         let running: Vec<Value> =
-            inside.running.iter().map(|(t, r)| json!([t, r.number, "", 0])).collect();
+            state.running.iter().map(|(t, r)| json!([t, r.number, "", 0])).collect();
         let finished: Vec<Value> =
-            inside.finished.iter().map(|(n, t, r, how)| json!([n, t, r, how, ""])).collect();
+            state.finished.iter().map(|(n, t, r, ending)| json!([n, t, r, ending, ""])).collect();
         let mut lists =
-            json!({"clock_ms": inside.clock(), "running": running, "finished": finished});
+            json!({"clock_ms": state.clock(), "running": running, "finished": finished});
         if self.cfg.keeps_id {
-            lists["born"] = json!(inside.born);
+            lists["born"] = json!(state.born);
         }
         Some((200, lists))
     }
 
-    /// Gives the answer to a call on a connection to a life; none once that is over.
-    fn answer(&self, req: &Wire, life: u32) -> Option<(u16, Value)> {
-        let mut inside = self.lock();
-        if inside.life != life || inside.is_down() {
+    /// Returns the answer to a call on a connection to an incarnation, or `None` if that incarnation has ended.
+    fn answer(&self, req: &Wire, incarnation: u32) -> Option<(u16, Value)> {
+        let mut state = self.lock();
+        if state.incarnation != incarnation || state.is_down() {
             return None;
         }
-        if req.header("x-expect-instance") != self.id_of(life) {
+        if req.header("x-expect-instance") != self.incarnation_id(incarnation) {
             return Some((421, json!({})));
         }
         let body = serde_json::from_slice(&req.body).unwrap_or_default();
         Some(match req.first_line.split(' ').nth(1).unwrap_or_default() {
-            "/run-start" => self.start_run(&mut inside, &body),
-            "/run-stop" => self.stop_run(&mut inside, &body),
-            "/hold" => return self.hold(inside, &body),
+            "/run-start" => self.start_run(&mut state, &body),
+            "/run-stop" => self.stop_run(&mut state, &body),
+            "/hold" => return self.renew_lease(state, &body),
             _ => (404, json!({})),
         })
     }
 
-    /// Waits until a life is under way; gives which.
-    fn await_life(&self) -> u32 {
+    /// Waits until the worker is up and returns the number of its incarnation.
+    fn await_incarnation(&self) -> u32 {
         loop {
-            let inside = self.lock();
-            if !inside.is_down() {
-                return inside.life;
+            let state = self.lock();
+            if !state.is_down() {
+                return state.incarnation;
             }
-            drop(inside);
+            drop(state);
             thread::sleep(Duration::from_millis(2));
         }
     }
 }
 
-/// Tells when a run ends its worker's life: its job's text may name a task at fault, by the end of its name, and how
-/// long after its start that is.
+/// Returns when a run crashes its worker. The job's spec may name a faulty task by the end of the task's name, and the
+/// time from its start to the crash.
 fn crashes_at(spec: &Value, task: &str) -> Option<Instant> {
     let fault = spec.get("crash")?;
-    let at_fault = task.ends_with(fault["task"].as_str()?);
-    at_fault.then(|| Instant::now() + Duration::from_millis(number(fault, "after_ms")))
+    let is_faulty = task.ends_with(fault["task"].as_str()?);
+    is_faulty.then(|| Instant::now() + Duration::from_millis(number(fault, "after_ms")))
 }
 
 fn text(body: &Value, name: &str) -> String {
@@ -401,9 +416,10 @@
     body[name].as_u64().unwrap_or(0)
 }
 
+/// Accepts connections until the worker is stopped.
 fn accept(listener: &TcpListener, shared: &Arc<Shared>) {
     for stream in listener.incoming().flatten() {
-        if shared.stopped() {
+        if shared.is_stopped() {
             return;
         }
         let shared = shared.clone();
@@ -411,91 +427,92 @@
     }
 }
 
-/// Serves a connection. One that is opened while the worker is down reaches the next life, as the system goes on trying
-/// to open it.
+/// Serves a connection. One that is opened while the worker is down reaches the next incarnation, since the operating
+/// system of a client keeps trying to open it.
 fn serve(mut stream: TcpStream, shared: &Shared) {
-    let life = shared.await_life();
-    if let Ok(kept) = stream.try_clone() {
-        shared.streams.lock().unwrap_or_else(|e| e.into_inner()).push(kept);
+    let incarnation = shared.await_incarnation();
+    if let Ok(connection) = stream.try_clone() {
+        shared.connections.lock().unwrap_or_else(|e| e.into_inner()).push(connection);
     }
     while let Some(req) = read_wire(&mut stream) {
-        if shared.stopped() {
+        if shared.is_stopped() {
             return;
         }
-        let Some((status, body)) = shared.answer(&req, life) else { break };
+        let Some((status, body)) = shared.answer(&req, incarnation) else { break };
         let line = format!("HTTP/1.1 {status} -");
         let head = [("content-type", "application/json".to_string())];
         if write_wire(&mut stream, &line, &head, body.to_string().as_bytes()).is_err() {
             break;
         }
     }
-    // It may have ended already.
+    // The connection may be closed already.
     let _ = stream.shutdown(Shutdown::Both);
 }
 
-/// Ends what is done, and everything once the lease is over.
-fn live(shared: &Shared) {
-    let mut leased = false;
-    while !shared.stopped() {
-        let mut inside = shared.lock();
+/// Ends runs that are done, and all runs when the lease expires, and crashes the worker when a run asks for it.
+fn run_lifecycle(shared: &Shared) {
+    let mut was_leased = false;
+    while !shared.is_stopped() {
+        let mut state = shared.lock();
         let now = Instant::now();
-        let lapsed = inside.clock() >= inside.lease;
-        if leased && lapsed {
-            shared.log.lock().lapses.push((shared.recorded_as(inside.life), now));
+        let lapsed = state.clock() >= state.lease;
+        if was_leased && lapsed {
+            shared.log.lock().lapses.push((shared.log_name(state.incarnation), now));
         }
-        leased = !lapsed;
-        if inside.running.values().any(|r| r.crashes_at.is_some_and(|at| now >= at)) {
-            shared.crash(&mut inside, DOWN);
+        was_leased = !lapsed;
+        if state.running.values().any(|r| r.crashes_at.is_some_and(|at| now >= at)) {
+            shared.crash(&mut state, CRASH_DOWNTIME);
         }
-        let how = |r: &Run| match (lapsed, r.fails) {
+        let ending = |r: &Run| match (lapsed, r.fails) {
             (true, _) => "lapsed",
             (false, true) => "failed",
             (false, false) => "done",
         };
-        let over: Vec<(String, &'static str)> = inside
+        let ended: Vec<(String, &'static str)> = state
             .running
             .iter()
             .filter(|(_, r)| lapsed || now >= r.ends_at)
-            .map(|(t, r)| (t.clone(), how(r)))
+            .map(|(t, r)| (t.clone(), ending(r)))
             .collect();
-        for (task, how) in over {
-            shared.end(&mut inside, &task, how);
+        for (task, ending) in ended {
+            shared.end(&mut state, &task, ending);
         }
-        drop(inside);
+        drop(state);
         thread::sleep(Duration::from_millis(5));
     }
 }
 
+/// Announces the worker every 300 ms to the first control address that acknowledges.
 fn announce(shared: &Shared, controls: &[SocketAddr]) {
     let (mut seq, mut announced) = (0_u64, 0);
-    while !shared.stopped() {
-        let inside = shared.lock();
-        if inside.is_down() {
-            drop(inside);
+    while !shared.is_stopped() {
+        let state = shared.lock();
+        if state.is_down() {
+            drop(state);
             thread::sleep(Duration::from_millis(20));
             continue;
         }
-        if shared.cfg.keeps_id && inside.life != announced {
+        if shared.cfg.keeps_id && state.incarnation != announced {
             seq = 0;
         }
         seq += 1;
-        announced = inside.life;
-        let id = shared.id_of(inside.life);
+        announced = state.incarnation;
+        let id = shared.incarnation_id(state.incarnation);
         let mut body = json!({
             "service": shared.cfg.service, "address": shared.proxy.addr().to_string(), "zone": "z",
             "version": "v1", "slots": 8, "cold_left_ms": 0, "seq": seq,
-            "state": if inside.leaving { "draining" } else { "ready" },
-            "capacity": {"cpu": inside.cpu, "mem_mb": 100_000, "gpu": 0},
-            "labels": ["a", "r1"], "clock_ms": inside.clock(),
+            "state": if state.leaving { "draining" } else { "ready" },
+            "capacity": {"cpu": state.cpu, "mem_mb": 100_000, "gpu": 0},
+            "labels": ["a", "r1"], "clock_ms": state.clock(),
         });
         if shared.cfg.keeps_id {
-            body["born"] = json!(inside.born);
+            body["born"] = json!(state.born);
         }
-        drop(inside);
+        drop(state);
         let line = format!("POST /Instances.Heartbeat/{id} HTTP/1.1");
         let head = [("content-type", "application/json".to_string()), ("host", "c".to_string())];
         for control in controls {
-            let answer = call(*control, &line, &head, body.to_string().as_bytes(), ACK_LIMIT);
+            let answer = call(*control, &line, &head, body.to_string().as_bytes(), ACK_TIMEOUT);
             if answer.is_some_and(|a| a.status() == 200) {
                 break;
             }
--- a/components/testkit/src/proxy.rs
+++ b/components/testkit/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback that spoils connections as a test wants it.
+//! A TCP proxy on loopback that injects connection faults.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,121 +7,126 @@
 use std::thread;
 use std::time::Duration;
 
-/// What the proxy does with what passes.
+/// The fault that the proxy injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Spoil {
-    /// Hands everything on.
+    /// Forwards everything.
     Nothing = 0,
-    /// Hands nothing on, in either direction, and closes nothing.
+    /// Drops all data in both directions and keeps the connections open.
     Silence = 1,
-    /// Hands requests on and swallows the answers.
+    /// Forwards requests and drops the answers.
     OneWay = 2,
-    /// Hands everything on late.
+    /// Forwards everything with a delay.
     Delay = 3,
-    /// Closes every connection at its next byte.
+    /// Closes each connection when it next receives data.
     Reset = 4,
 }
 
 impl Spoil {
-    /// Every way to spoil a connection.
+    /// All faults.
     pub const ALL: [Spoil; 4] = [Spoil::Silence, Spoil::OneWay, Spoil::Delay, Spoil::Reset];
 }
 
-/// How late [`Spoil::Delay`] hands things on.
+/// How long [`Spoil::Delay`] holds each chunk of data back.
 const DELAY: Duration = Duration::from_millis(350);
 
-/// A running proxy.
+/// A running proxy in front of one address.
 #[derive(Debug)]
 pub struct Proxy {
     addr: SocketAddr,
     mode: Arc<AtomicU8>,
-    open: Arc<Mutex<Vec<Open>>>,
+    open: Arc<Mutex<Vec<ProxiedConnection>>>,
 }
 
-/// A connection that the proxy has taken.
+/// A connection that the proxy has accepted.
 #[derive(Debug)]
-struct Open {
-    near: TcpStream,
-    /// Whether it has gone silent for good.
-    hushed: Arc<AtomicBool>,
+struct ProxiedConnection {
+    client: TcpStream,
+    /// Whether its data is dropped for good.
+    silenced: Arc<AtomicBool>,
 }
 
 impl Proxy {
-    /// Starts a proxy in front of `target`.
+    /// Starts a proxy in front of `target` on a free port.
     ///
     /// # Errors
-    /// If no port can be had.
+    /// Returns an error if no port can be bound.
     pub fn start(target: SocketAddr) -> std::io::Result<Proxy> {
         Proxy::start_at(SocketAddr::from(([127, 0, 0, 1], 0)), target)
     }
 
-    /// Starts a proxy in front of `target` at an address that others know as the target's own.
+    /// Starts a proxy in front of `target` that listens on a given address, which clients take for the target's.
     ///
     /// # Errors
-    /// If the address cannot be had.
+    /// Returns an error if the address cannot be bound.
     pub fn start_at(listen: SocketAddr, target: SocketAddr) -> std::io::Result<Proxy> {
         let listener = TcpListener::bind(listen)?;
         let proxy =
             Proxy { addr: listener.local_addr()?, mode: Arc::default(), open: Arc::default() };
         let (mode, open) = (proxy.mode.clone(), proxy.open.clone());
         thread::spawn(move || {
-            for near in listener.incoming().flatten() {
-                let Ok(far) = TcpStream::connect(target) else { continue };
-                let (Ok(near2), Ok(far2), Ok(kept)) =
-                    (near.try_clone(), far.try_clone(), near.try_clone())
+            for client in listener.incoming().flatten() {
+                let Ok(server) = TcpStream::connect(target) else { continue };
+                let (Ok(client_return), Ok(server_return), Ok(tracked)) =
+                    (client.try_clone(), server.try_clone(), client.try_clone())
                 else {
                     continue;
                 };
-                let hushed = Arc::<AtomicBool>::default();
-                let connection = Open { near: kept, hushed: hushed.clone() };
+                let silenced = Arc::<AtomicBool>::default();
+                let connection = ProxiedConnection { client: tracked, silenced: silenced.clone() };
                 open.lock().unwrap_or_else(|e| e.into_inner()).push(connection);
-                let (there, back) = (mode.clone(), mode.clone());
-                let (hushed_there, hushed_back) = (hushed.clone(), hushed);
-                thread::spawn(move || pass(near, far, &there, &hushed_there, true));
-                thread::spawn(move || pass(far2, near2, &back, &hushed_back, false));
+                let (mode_forward, mode_return) = (mode.clone(), mode.clone());
+                let (silenced_forward, silenced_return) = (silenced.clone(), silenced);
+                thread::spawn(move || {
+                    forward(client, server, &mode_forward, &silenced_forward, true)
+                });
+                thread::spawn(move || {
+                    forward(server_return, client_return, &mode_return, &silenced_return, false)
+                });
             }
         });
         Ok(proxy)
     }
 
-    /// Gives where the proxy listens.
+    /// Returns the address on which the proxy listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Begins to spoil what passes, or ends it. What was swallowed is lost, so connections that
-    /// were spoiled are closed at the end.
+    /// Sets the fault to inject. When a fault that drops data ends, all connections are closed, because the
+    /// dropped data is missing from their streams.
     pub fn spoil(&self, how: Spoil) {
         let before = self.mode.swap(how as u8, Ordering::SeqCst);
         if how == Spoil::Nothing && before != Spoil::Delay as u8 {
             let mut open = self.open.lock().unwrap_or_else(|e| e.into_inner());
             for connection in open.drain(..) {
-                // It may have ended by itself.
-                let _ = connection.near.shutdown(Shutdown::Both);
+                // The connection may be closed already.
+                let _ = connection.client.shutdown(Shutdown::Both);
             }
         }
     }
 
-    /// Lets every connection that is open go silent for good, in both directions and without a reset.
-    /// New ones pass. Gives how many connections that were ever taken are silent now.
+    /// Drops all further data of the existing connections, in both directions and without closing them. New
+    /// connections work. Returns the number of silenced connections, including those that have ended.
     pub fn hush_open(&self) -> usize {
         let open = self.open.lock().unwrap_or_else(|e| e.into_inner());
-        open.iter().for_each(|c| c.hushed.store(true, Ordering::SeqCst));
+        open.iter().for_each(|c| c.silenced.store(true, Ordering::SeqCst));
         open.len()
     }
 }
 
-fn pass(
+/// Copies data in one direction until the connection ends, and applies the fault that is set.
+fn forward(
     mut from: TcpStream,
     mut to: TcpStream,
     mode: &AtomicU8,
-    hushed: &AtomicBool,
-    request: bool,
+    silenced: &AtomicBool,
+    carries_requests: bool,
 ) {
     let mut buf = [0; 16_384];
     while let Ok(n) = from.read(&mut buf) {
-        if hushed.load(Ordering::SeqCst) {
-            // Nobody learns that a silent connection was closed, either.
+        if silenced.load(Ordering::SeqCst) {
+            // A close on one side is not passed on to the other side either.
             if n == 0 {
                 return;
             }
@@ -131,7 +136,8 @@
         if n == 0 || mode == Spoil::Reset as u8 {
             break;
         }
-        let swallowed = mode == Spoil::Silence as u8 || (mode == Spoil::OneWay as u8 && !request);
+        let swallowed =
+            mode == Spoil::Silence as u8 || (mode == Spoil::OneWay as u8 && !carries_requests);
         if swallowed {
             continue;
         }
--- a/components/testkit/src/records.rs
+++ b/components/testkit/src/records.rs
@@ -1,4 +1,4 @@
-//! What a worker stand-in writes down of itself, so that a check can be made afterwards.
+//! The records that a simulated worker writes, which are checked after a run.
 
 use std::fs::{File, OpenOptions};
 use std::io::Write;
@@ -8,40 +8,40 @@
 use errors::{Error, Result, io};
 use serde::{Deserialize, Serialize};
 
-/// What happened on a worker.
+/// The kind of event on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RecordKind {
-    /// The worker's process started; whatever ran before is gone.
+    /// The worker's process started; all tasks of an earlier process have ended.
     Boot,
     /// A task started.
     Start,
-    /// A task ended or was stopped.
+    /// A task ended by itself or was stopped.
     End,
-    /// A request began to run.
+    /// A request started to run.
     Request,
     /// A request's answer was sent.
     Answer,
-    /// A start was refused because it would not fit.
+    /// A start was refused because the task did not fit into the free capacity.
     Overcommit,
 }
 
-/// One record.
+/// One event on a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The wall clock; all stand-ins run on one machine.
+    /// The wall-clock time. Times of different workers compare, since all of them run on one machine.
     pub at: Millis,
-    /// The worker.
+    /// The name of the worker.
     pub worker: String,
-    /// What happened.
+    /// The kind of event.
     pub kind: RecordKind,
-    /// The task with its job's version, or the request's key or id.
+    /// The task and its generation, or the request's key or id.
     pub what: String,
-    /// What it was about: a task's processors in thousandths, or the requests under way.
+    /// The CPU of the task (or, at boot, of the worker) in thousandths of a core, or the number of requests in flight.
     pub amount: u64,
 }
 
-/// Writes records to a file, one JSON object a line.
+/// A writer that appends records to a file as JSON lines.
 #[derive(Debug)]
 pub struct Recorder {
     worker: String,
@@ -49,7 +49,7 @@
 }
 
 impl Recorder {
-    /// Opens a recorder. Without a path nothing is written.
+    /// Opens a recorder that appends to the file at `path`, or one that discards records without a path.
     ///
     /// # Errors
     /// [`Error::Io`] if the file cannot be opened.
@@ -60,23 +60,23 @@
         Ok(Recorder { worker: worker.to_string(), file })
     }
 
-    /// Writes a record down.
+    /// Appends a record with the current time. Write errors are ignored.
     pub fn note(&mut self, kind: RecordKind, what: &str, amount: u64) {
         let Some(file) = &mut self.file else { return };
         let worker = self.worker.clone();
         let record = Record { at: wall_now(), worker, kind, what: what.to_string(), amount };
         if let Ok(mut line) = serde_json::to_vec(&record) {
             line.push(b'\n');
-            // One write for each line, so that a kill leaves whole lines.
+            // Each line is a single write, so that a killed process leaves only complete lines.
             let _ = file.write_all(&line);
         }
     }
 }
 
-/// Reads the records in a file.
+/// Reads all records from a file.
 ///
 /// # Errors
-/// [`Error::Io`] or [`Error::Decode`] if the file is not what a recorder wrote.
+/// [`Error::Io`] or [`Error::Decode`] if the file cannot be read or a line is not a record.
 pub fn read_records(path: &Path) -> Result<Vec<Record>> {
     let text = std::fs::read_to_string(path).map_err(io("read", path))?;
     let decode = |line: &str| {
--- a/components/testkit/src/run_log.rs
+++ b/components/testkit/src/run_log.rs
@@ -1,60 +1,60 @@
-//! What the workers of a test have run, and what was wrong with it.
+//! A log of all runs on the workers of a test, with a check for runs that must not have happened.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
 
-/// One run, as its worker saw it.
+/// One run of a task, as its worker observed it.
 #[derive(Clone, Debug)]
 pub struct RunRecord {
-    /// The task's name.
+    /// The name of the task.
     pub task: String,
     /// The number of the run.
     pub run: u64,
-    /// The worker.
+    /// The worker that ran it.
     pub worker: String,
-    /// When it began.
+    /// When it started.
     pub from: Instant,
-    /// When it ended, and how.
+    /// When and how it ended, or `None` while it is running.
     pub to: Option<(Instant, &'static str)>,
 }
 
-/// The runs and the lapses in the order in which they came.
+/// The recorded runs and lapses, in order of occurrence.
 #[derive(Debug, Default)]
-pub(crate) struct Recorded {
+pub(crate) struct LogContents {
     pub(crate) runs: Vec<RunRecord>,
-    /// When a worker's lease ran out, or its life.
+    /// When a worker's lease expired or the worker crashed.
     pub(crate) lapses: Vec<(String, Instant)>,
 }
 
-/// What all workers of a test have run, in the order of starts.
+/// A shared log of the runs on all workers of a test, in the order of their starts.
 #[derive(Clone, Debug, Default)]
-pub struct RunLog(Arc<Mutex<Recorded>>);
+pub struct RunLog(Arc<Mutex<LogContents>>);
 
 impl RunLog {
-    pub(crate) fn lock(&self) -> MutexGuard<'_, Recorded> {
+    pub(crate) fn lock(&self) -> MutexGuard<'_, LogContents> {
         self.0.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Gives every run so far.
+    /// Returns all runs so far.
     pub fn runs(&self) -> Vec<RunRecord> {
         self.lock().runs.clone()
     }
 
-    /// Tells whether a worker's lease or life ran out between two times. Nobody can know then what it has
-    /// done, unless it tells later.
+    /// Returns whether a worker's lease expired or the worker crashed between two times. The result of a run that
+    /// ended before is then unknown to the dispatcher, unless the worker reports it later.
     fn lapsed_between(&self, worker: &str, from: Instant, to: Instant) -> bool {
         self.lock().lapses.iter().any(|(w, at)| w == worker && *at >= from && *at <= to)
     }
 
-    /// Gives how many runs of a job's tasks have ended as `how`.
+    /// Returns the number of runs of a job's tasks that have ended as `how`.
     pub fn ended(&self, job: &str, how: &str) -> usize {
         let of = |r: &&RunRecord| r.task.starts_with(job) && r.to.is_some_and(|(_, h)| h == how);
         self.lock().runs.iter().filter(of).count()
     }
 
-    /// Gives the tasks of which two runs were alive at once, and those that were started after a
-    /// run of theirs had done its work on a worker that kept its lease.
+    /// Returns a message for each pair of overlapping runs of a task, and for each run that started after another
+    /// run of the task had completed on a worker that kept its lease.
     pub fn violations(&self) -> Vec<String> {
         let mut by_task: BTreeMap<String, Vec<RunRecord>> = BTreeMap::new();
         for run in self.runs() {
@@ -69,8 +69,8 @@
                         found.push(format!("{task}: runs {} and {} overlap", a.run, b.run));
                     }
                     let done = a.to.filter(|(_, how)| *how == "done");
-                    let kept = |end| !self.lapsed_between(&a.worker, end, b.from);
-                    if done.is_some_and(|(end, _)| kept(end)) {
+                    let lease_held = |end| !self.lapsed_between(&a.worker, end, b.from);
+                    if done.is_some_and(|(end, _)| lease_held(end)) {
                         found.push(format!("{task}: run {} after {} was done", b.run, a.run));
                     }
                 }
--- a/components/testkit/src/worker.rs
+++ b/components/testkit/src/worker.rs
@@ -1,4 +1,4 @@
-//! The worker stand-in's core: it holds a lease, runs tasks and reports. Pure but for its records.
+//! The core of a simulated worker: it holds a lease, runs tasks and reports. It does no I/O except for its records.
 
 use std::collections::BTreeMap;
 
@@ -10,18 +10,18 @@
 
 use crate::records::{RecordKind, Recorder};
 
-/// What a worker is like.
+/// The capacity and behaviour of a simulated worker.
 #[derive(Clone, Debug)]
 pub struct WorkerConfig {
-    /// What it has.
+    /// Its total capacity.
     pub total: Size,
-    /// Its process; another one after each restart.
+    /// The id of its process, which changes with each restart.
     pub boot: u64,
-    /// Whether every task fails at once.
+    /// Whether every task fails immediately after its start.
     pub fails_tasks: bool,
-    /// How long a task really runs, in percent of what is declared.
+    /// The actual run time of a task, in percent of the declared one.
     pub run_percent: u64,
-    /// By how much its reports of use lag.
+    /// The delay with which it reports its resource usage.
     pub usage_lag: Millis,
 }
 
@@ -31,7 +31,7 @@
     since: Millis,
 }
 
-/// A worker's state.
+/// The state of a simulated worker.
 #[derive(Debug)]
 pub struct WorkerCore {
     cfg: WorkerConfig,
@@ -47,7 +47,7 @@
 }
 
 impl WorkerCore {
-    /// Starts a worker that runs nothing.
+    /// Creates a worker without tasks and records its boot.
     pub fn new(cfg: WorkerConfig, mut recorder: Recorder) -> WorkerCore {
         recorder.note(RecordKind::Boot, &cfg.boot.to_string(), cfg.total.cpu_milli);
         WorkerCore {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Takes in a call of an allocator.
+    /// Handles a sync call of an allocator. Refuses one with an outdated epoch or a repeated sequence number.
     pub fn sync(&mut self, now: Millis, req: &SyncRequest) -> SyncReply {
         self.tick(now);
         let outdated = req.epoch < self.epoch;
@@ -75,12 +75,12 @@
         self.epoch = req.epoch;
         self.seq = req.seq;
         if req.boot == self.cfg.boot {
-            self.obey(now, req);
+            self.apply_request(now, req);
         }
         SyncReply::Done(self.report(now))
     }
 
-    fn obey(&mut self, now: Millis, req: &SyncRequest) {
+    fn apply_request(&mut self, now: Millis, req: &SyncRequest) {
         if let Some(lease) = req.lease {
             self.lease = Some(lease);
             self.tick(now);
@@ -131,54 +131,54 @@
         }
     }
 
-    /// Lets time pass: ends tasks that are through and those whose lease has run out.
+    /// Advances the time: ends tasks that are done and those whose lease has expired, and samples the usage.
     pub fn tick(&mut self, now: Millis) {
-        let mut over = Vec::new();
+        let mut finished = Vec::new();
         for (task, running) in &self.running {
-            let real = running.start.run_time.0 * self.cfg.run_percent / 100;
+            let actual = running.start.run_time.0 * self.cfg.run_percent / 100;
             let finite = running.start.run_time > Millis::ZERO;
             if !self.lease_covers(now, running.start.may_move) {
-                over.push((task.clone(), TaskEnding::Stopped));
-            } else if finite && now.since(running.since).0 >= real {
-                over.push((task.clone(), TaskEnding::Done));
+                finished.push((task.clone(), TaskEnding::Stopped));
+            } else if finite && now.since(running.since).0 >= actual {
+                finished.push((task.clone(), TaskEnding::Done));
             }
         }
-        for (task, ending) in over {
+        for (task, ending) in finished {
             self.end(now, &task, ending);
         }
         self.used.push((now, self.taken()));
-        let keep = now.since(Millis::ZERO).0.saturating_sub(self.cfg.usage_lag.0);
-        while self.used.len() > 1 && self.used[1].0.0 <= keep {
+        let oldest_needed = now.since(Millis::ZERO).0.saturating_sub(self.cfg.usage_lag.0);
+        while self.used.len() > 1 && self.used[1].0.0 <= oldest_needed {
             self.used.remove(0);
         }
     }
 
-    /// Tells the worker that it is about to leave.
+    /// Marks the worker as leaving.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Tells whether it is about to leave.
+    /// Returns whether the worker is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Gives the tasks that run.
+    /// Returns the running tasks.
     pub fn running(&self) -> impl Iterator<Item = &RunningTask> {
         self.running.keys()
     }
 
-    /// Gives what the running tasks take.
+    /// Returns the total size of the running tasks.
     pub fn taken(&self) -> Size {
         self.running.values().fold(Size::ZERO, |sum, r| sum.plus(&r.start.size))
     }
 
-    /// Gives how many starts were refused because they would not fit.
+    /// Returns the number of starts refused because the task did not fit.
     pub fn overcommits(&self) -> u32 {
         self.overcommits
     }
 
-    /// Writes a record down.
+    /// Appends a record.
     pub fn note(&mut self, kind: RecordKind, what: &str, amount: u64) {
         self.recorder.note(kind, what, amount);
     }
