--- a/components/bench/benches/figures.rs
+++ b/components/bench/benches/figures.rs
@@ -1,11 +1,11 @@
-//! `cargo bench`: prints one line a figure, `figure <name> <value> <unit>`.
+//! The entry point of `cargo bench`. It prints one line per figure, `figure <name> <value> <unit>`.
 
 fn main() {
-    // cargo test builds benches and runs them with --test; there is nothing to test here.
+    // `cargo test --benches` runs this program with `--test`; there is nothing to test.
     if std::env::args().any(|a| a == "--test") {
         return;
     }
-    // A name runs one part only: dispatching, placing, replay, requests, log, leases.
+    // An argument selects a single part: dispatching, placing, replay, requests, log or leases.
     let part = std::env::args().nth(1).filter(|a| !a.starts_with("--"));
     bench::run(part.as_deref());
 }
--- a/components/bench/src/dispatching.rs
+++ b/components/bench/src/dispatching.rs
@@ -1,5 +1,5 @@
-//! What a leader's decisions cost, by how many workers there are and how much waits: time passing, and the
-//! end of one task with all that follows from it.
+//! Measures the cost of a leader's decisions by the number of workers and of waiting tasks: of a tick, and of the end
+//! of one task with all its consequences.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -16,22 +16,23 @@
 
 use crate::figure::figure;
 
-/// Workers, as on the users' sites and at the size two years ahead.
+/// The numbers of workers: those of the users' sites and the size expected in two years.
 const WORKERS: [usize; 3] = [350, 1_100, 3_200];
-/// Tasks that wait without room.
+/// The numbers of tasks that wait because no worker has free capacity.
 const WAITING: [u32; 3] = [0, 1_000, 50_000];
-/// How many tasks each worker runs.
-const RUNS_EACH: u32 = 4;
-/// How many tasks a job has.
-const TASKS: u32 = 10;
-/// How many instances call for advice.
-const HELPERS: usize = 100;
-/// How often each figure is taken.
-const TIMES: usize = 200;
-
-struct OneQueue;
-
-impl PolicyReader for OneQueue {
+/// The number of tasks that each worker runs.
+const RUNS_PER_WORKER: u32 = 4;
+/// The number of tasks of a job.
+const TASKS_PER_JOB: u32 = 10;
+/// The number of advice callers.
+const ADVICE_CALLERS: usize = 100;
+/// The number of operations over which each figure is averaged.
+const REPETITIONS: usize = 200;
+
+/// A policy reader that returns a policy of one queue and one service for every document.
+struct SingleQueueReader;
+
+impl PolicyReader for SingleQueueReader {
     fn read(&self, _: &str) -> errors::Result<Policy> {
         let queue = Queue {
             name: "q".into(),
@@ -51,61 +52,69 @@
     }
 }
 
-/// A dispatcher whose log commits at once and whose workers answer at once.
-struct Driven {
+/// A dispatcher with a log that commits immediately and workers that answer immediately.
+struct DispatcherDriver {
     dispatcher: Dispatcher,
     now: Millis,
     jobs: u64,
-    /// What runs, in the order of starts.
+    /// The running tasks, in the order of their starts.
     running: std::collections::VecDeque<(WorkerId, TaskKey, u32)>,
-    /// The number of the last end of each worker.
+    /// The number of the last end that each worker has reported.
     ends: std::collections::BTreeMap<WorkerId, u64>,
 }
 
+/// Returns a job of one step.
 fn spec() -> Arc<JobSpec> {
     let size = Size::new(4_000, 4_000, 0);
-    let step = StepSpec { count: TASKS, size, estimate: Millis(1_000), ..StepSpec::default() };
+    let step =
+        StepSpec { count: TASKS_PER_JOB, size, estimate: Millis(1_000), ..StepSpec::default() };
     Arc::new(JobSpec { spec: "text".into(), steps: vec![step], ..JobSpec::default() })
 }
 
-impl Driven {
-    fn new(workers: usize, waiting: u32) -> Driven {
+impl DispatcherDriver {
+    /// Creates a dispatcher whose workers are fully used, with the given number of tasks waiting.
+    fn new(workers: usize, waiting: u32) -> DispatcherDriver {
         let now = Millis(1_000);
         let mut replicated = ReplicatedState::default();
         let document = Document { version: 1, text: "any".into() };
         replicated.apply(&workload::Command::Configure(document));
-        let setup =
-            Setup { limits: Limits::default(), term: 1, reader: Arc::new(OneQueue), replicated };
+        let setup = Setup {
+            limits: Limits::default(),
+            term: 1,
+            reader: Arc::new(SingleQueueReader),
+            replicated,
+        };
         let moment = Moment { now, wall: now, leads_until: Millis(u64::MAX) };
         let dispatcher = Dispatcher::new(setup, moment);
         let (running, ends) = Default::default();
-        let mut d = Driven { dispatcher, now, jobs: 0, running, ends };
-        let helpers = (0..HELPERS).map(|n| format!("h{n}").as_str().into()).collect();
-        d.feed(Input::AdviceCallers(helpers));
+        let mut driver = DispatcherDriver { dispatcher, now, jobs: 0, running, ends };
+        let callers = (0..ADVICE_CALLERS).map(|n| format!("h{n}").as_str().into()).collect();
+        driver.feed(Input::AdviceCallers(callers));
         for n in 0..workers {
-            d.join(n);
+            driver.join(n);
         }
-        let jobs = (workers as u32 * RUNS_EACH + waiting) / TASKS;
+        let jobs = (workers as u32 * RUNS_PER_WORKER + waiting) / TASKS_PER_JOB;
         for _ in 0..jobs {
-            d.submit();
+            driver.submit();
         }
-        // Starts under way are bounded, so a full fleet takes several plans.
+        // The dispatcher bounds the starts in flight, so filling all workers takes several plans.
         for _ in 0..workers * 4 {
-            if d.running.len() as u32 >= workers as u32 * RUNS_EACH {
+            if driver.running.len() as u32 >= workers as u32 * RUNS_PER_WORKER {
                 break;
             }
-            d.pass();
+            driver.advance();
         }
-        d
+        driver
     }
 
+    /// Passes an input to the dispatcher and settles what follows.
     fn feed(&mut self, input: Input) {
         let m = Moment { now: self.now, wall: self.now, leads_until: Millis(u64::MAX) };
         self.dispatcher.handle(m, input);
         self.settle();
     }
 
-    /// Commits what was proposed and answers what was ordered, until nothing more follows.
+    /// Commits proposed commands and answers orders until the dispatcher has no more actions.
     fn settle(&mut self) {
         let m = Moment { now: self.now, wall: self.now, leads_until: Millis(u64::MAX) };
         loop {
@@ -124,11 +133,12 @@
                         let result = Ok(self.now);
                         self.dispatcher.handle(m, Input::Started { worker, task, run, result });
                     }
-                    Action::RequestAdvice(ask) => {
+                    Action::RequestAdvice(request) => {
                         let ticket = |w: WorkerId| (w, "ticket".into());
-                        let allowed = Some(ask.workers.into_iter().map(ticket).collect());
+                        let allowed = Some(request.workers.into_iter().map(ticket).collect());
                         let valid = Some(Millis(2_500));
-                        self.dispatcher.handle(m, Input::Advised { id: ask.id, valid, allowed });
+                        self.dispatcher
+                            .handle(m, Input::Advised { id: request.id, valid, allowed });
                     }
                     _ => {}
                 }
@@ -136,6 +146,7 @@
         }
     }
 
+    /// Announces a worker and sends its first report.
     fn join(&mut self, n: usize) {
         let id = WorkerId::from(format!("w{n}").as_str());
         let info = WorkerInfo {
@@ -156,6 +167,7 @@
         self.report(id, Vec::new());
     }
 
+    /// Sends a report of a worker with its running tasks and the given ends.
     fn report(&mut self, worker: WorkerId, ends: Vec<End>) {
         let runs = self.running.iter().filter(|(w, ..)| *w == worker);
         let row = |(_, task, run): &(WorkerId, TaskKey, u32)| dispatch::RunStatus {
@@ -171,6 +183,7 @@
         self.feed(Input::Renewed { worker, sent_at, result: Ok(report) });
     }
 
+    /// Submits a job.
     fn submit(&mut self) {
         self.jobs += 1;
         let path = format!("/q/{}", JobId(self.jobs));
@@ -179,12 +192,13 @@
         self.feed(Input::Call { token: self.jobs, call });
     }
 
-    fn pass(&mut self) {
+    /// Advances the time by 2 ms and ticks the dispatcher.
+    fn advance(&mut self) {
         self.now += Millis(2);
         self.feed(Input::Tick);
     }
 
-    /// Ends the task that has run for longest.
+    /// Ends the task that has run for the longest time.
     fn end_one(&mut self) {
         let Some((worker, task, run)) = self.running.pop_front() else { return };
         let number = self.ends.entry(worker.clone()).or_default();
@@ -196,20 +210,20 @@
     }
 }
 
-/// Gives the mean time of one go in microseconds.
-fn mean_us(mut one: impl FnMut()) -> f64 {
+/// Returns the mean time of an operation in microseconds.
+fn mean_us(mut operation: impl FnMut()) -> f64 {
     let began = Instant::now();
-    (0..TIMES).for_each(|_| one());
-    began.elapsed().as_secs_f64() * 1e6 / TIMES as f64
+    (0..REPETITIONS).for_each(|_| operation());
+    began.elapsed().as_secs_f64() * 1e6 / REPETITIONS as f64
 }
 
-/// Prints the figures.
+/// Measures each combination of workers and waiting tasks and prints the figures.
 pub fn run() {
     for workers in WORKERS {
         for waiting in WAITING {
-            let mut d = Driven::new(workers, waiting);
-            let tick = mean_us(|| d.feed(Input::Tick));
-            let end = mean_us(|| d.end_one());
+            let mut driver = DispatcherDriver::new(workers, waiting);
+            let tick = mean_us(|| driver.feed(Input::Tick));
+            let end = mean_us(|| driver.end_one());
             figure(&format!("dispatch_tick_{workers}_workers_{waiting}_waiting"), tick, "us");
             figure(&format!("dispatch_end_{workers}_workers_{waiting}_waiting"), end, "us");
         }
--- a/components/bench/src/figure.rs
+++ b/components/bench/src/figure.rs
@@ -1,31 +1,31 @@
-//! Printing figures.
+//! Output of figures.
 
 use clock::Millis;
 use hdrhistogram::Histogram;
 
-/// Prints one figure.
+/// Prints one figure as a line.
 pub fn figure(name: &str, value: f64, unit: &str) {
     println!("figure {name} {value:.3} {unit}");
 }
 
-/// Waiting times of one class.
+/// A histogram of waiting times in milliseconds.
 pub struct Waits(Histogram<u64>);
 
 impl Default for Waits {
     fn default() -> Self {
-        // Two digits are always accepted.
+        // Zero to five significant digits are valid, so this does not fail.
         Waits(Histogram::new(2).unwrap_or_else(|_| unreachable!("two digits are valid")))
     }
 }
 
 impl Waits {
-    /// Notes a wait.
+    /// Records a waiting time.
     pub fn note(&mut self, wait: Millis) {
-        // The histogram grows as it needs to.
+        // The histogram resizes itself, so recording does not fail.
         let _ = self.0.record(wait.0);
     }
 
-    /// Prints the median and 99th percentile.
+    /// Prints the median and the 99th percentile, or nothing if no time was recorded.
     pub fn print(&self, name: &str) {
         if self.0.is_empty() {
             return;
@@ -35,7 +35,7 @@
     }
 }
 
-/// Gives what this process holds in memory, in kilobytes; zero where the system does not tell.
+/// Returns the resident memory of this process in kilobytes, or zero if the system does not report it.
 pub fn resident_kilobytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
--- a/components/bench/src/leases.rs
+++ b/components/bench/src/leases.rs
@@ -1,4 +1,4 @@
-//! What leases and reports cost: bytes and processor time for each worker, memory for each task.
+//! Measures the cost of leases and reports: calls, bytes and CPU time per worker, and memory per task.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -14,12 +14,15 @@
 
 const WORKER_LEASE: Millis = Millis(3_000);
 const TASKS_PER_WORKER: u32 = 18;
-/// The target has 400 workers in each of its zones; the others show the slope. The largest comes first,
-/// so that it grows the memory of a fresh process.
+/// The numbers of workers to measure. The target has 400 in each of its zones; the others show the slope. The largest
+/// comes first, since its memory figure needs a process whose heap has not grown yet.
 const WORKERS: [u32; 3] = [400, 200, 100];
-const SECONDS: u64 = 30;
-const STEP: u64 = 20;
+/// The simulated time of one measurement, in seconds.
+const MEASURED_SECONDS: u64 = 30;
+/// The simulated time between two ticks of the allocator, in milliseconds.
+const STEP_MS: u64 = 20;
 
+/// An allocator with simulated workers and the cost of their calls so far.
 struct Bench {
     allocator: Allocator,
     workers: BTreeMap<Name, WorkerCore>,
@@ -44,6 +47,7 @@
     }
 }
 
+/// Returns a service job that is entirely in this zone.
 fn job(number: u32, tasks: u32) -> Job {
     let spec = JobSpec::new(
         &format!("job-with-a-usual-name-{number}"),
@@ -94,10 +98,11 @@
         Bench { allocator, workers, calls: 0, bytes: 0, allocator_nanos: 0, codec_nanos: 0 }
     }
 
+    /// Ticks the allocator once and delivers the sync calls that it makes.
     fn step(&mut self, now: Millis) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let actions = self.allocator.tick(now, Authority::Full);
-        self.allocator_nanos += begun.elapsed().as_nanos() as u64;
+        self.allocator_nanos += started_at.elapsed().as_nanos() as u64;
         for action in actions {
             if let Action::Sync { worker, req, .. } = action {
                 self.call(now, &worker, &req);
@@ -105,34 +110,37 @@
         }
     }
 
+    /// Delivers one sync call and its reply, with the same encoding as on the wire.
     fn call(&mut self, now: Millis, name: &Name, req: &SyncRequest) {
         let Some(worker) = self.workers.get_mut(name) else { return };
         let reply = worker.sync(now, req);
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let sent = serde_json::to_vec(req).unwrap_or_default();
         let answer = serde_json::to_vec(&reply).unwrap_or_default();
         let read = serde_json::from_slice::<SyncReply>(&answer);
-        self.codec_nanos += begun.elapsed().as_nanos() as u64;
+        self.codec_nanos += started_at.elapsed().as_nanos() as u64;
         self.calls += 1;
         self.bytes += (sent.len() + answer.len()) as u64;
         let Ok(reply) = read else { return };
-        let begun = Instant::now();
+        let started_at = Instant::now();
         self.allocator.on_reply(now, name, req.seq, Ok(reply));
-        self.allocator_nanos += begun.elapsed().as_nanos() as u64;
+        self.allocator_nanos += started_at.elapsed().as_nanos() as u64;
     }
 
+    /// Steps through a number of simulated seconds.
     fn run(&mut self, from: u64, seconds: u64) {
-        for step in 0..seconds * 1_000 / STEP {
-            self.step(Millis(from + step * STEP));
+        for step in 0..seconds * 1_000 / STEP_MS {
+            self.step(Millis(from + step * STEP_MS));
         }
     }
 
+    /// Resets all counters.
     fn reset(&mut self) {
         (self.calls, self.bytes, self.allocator_nanos, self.codec_nanos) = (0, 0, 0, 0);
     }
 }
 
-/// Measures a zone at rest, each worker running its tasks.
+/// Measures a zone in steady state, in which each worker runs its tasks, and prints the figures.
 pub fn run() {
     for workers in WORKERS {
         let before = resident_kilobytes();
@@ -140,11 +148,11 @@
         bench.run(100, 5);
         let (running, _, _) = bench.allocator.task_counts();
         let tasks = workers * TASKS_PER_WORKER;
-        assert_eq!(running, tasks as usize, "every task has found its place");
-        let held = resident_kilobytes().saturating_sub(before);
+        assert_eq!(running, tasks as usize, "every task is placed");
+        let memory_growth = resident_kilobytes().saturating_sub(before);
         bench.reset();
-        bench.run(10_000, SECONDS);
-        let worker_seconds = f64::from(workers) * SECONDS as f64;
+        bench.run(10_000, MEASURED_SECONDS);
+        let worker_seconds = f64::from(workers) * MEASURED_SECONDS as f64;
         let name = |what: &str| format!("{what}_{workers}_workers");
         let per = |n: u64| n as f64 / worker_seconds;
         figure(&name("lease_calls_per_worker"), per(bench.calls), "per_s");
@@ -152,7 +160,7 @@
         let micros = |n: u64| per(n) / 1_000.0;
         figure(&name("lease_allocator_per_worker"), micros(bench.allocator_nanos), "us_per_s");
         figure(&name("lease_codec_per_worker"), micros(bench.codec_nanos), "us_per_s");
-        let per_thousand = held as f64 / f64::from(tasks);
+        let per_thousand = memory_growth as f64 / f64::from(tasks);
         figure(&name("memory_per_1000_tasks"), per_thousand, "MB");
     }
 }
--- a/components/bench/src/lib.rs
+++ b/components/bench/src/lib.rs
@@ -1,4 +1,4 @@
-//! Measurements of the real decision code over seeded work, one figure a line.
+//! Benchmarks of the production decision code with seeded workloads. Each prints one line per figure.
 
 mod dispatching;
 mod figure;
@@ -11,10 +11,10 @@
 
 pub use figure::{Waits, figure, resident_kilobytes};
 
-/// A part of the measurements.
+/// A part of the benchmarks: its name and the function that runs it.
 type Part = (&'static str, fn());
 
-/// Leases come first: their figure of memory needs a fresh process.
+/// All parts in the order in which they run. Leases come first, since their memory figure needs a fresh process.
 const PARTS: [Part; 6] = [
     ("leases", leases::run),
     ("dispatching", dispatching::run),
@@ -24,7 +24,7 @@
     ("log", log::run),
 ];
 
-/// Takes the measurements of one part, or of all, and prints their figures.
+/// Runs the part of the given name, or all parts, and prints their figures.
 pub fn run(part: Option<&str>) {
     for (name, measure) in PARTS {
         if part.is_none_or(|p| p == name) {
--- a/components/bench/src/log.rs
+++ b/components/bench/src/log.rs
@@ -1,4 +1,4 @@
-//! The replicated log's cost: synced appends, and snapshots at the target's size.
+//! Measures the cost of the replicated log: synced appends, and snapshots at the target size.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -12,11 +12,14 @@
 
 use crate::figure::figure;
 
-const SYNCS: u64 = 400;
-const BATCHES: [u64; 2] = [1, 64];
-/// The target's state: jobs at work, ended jobs that are kept, and claims of ten minutes.
+/// The number of synced flushes for each batch size.
+const FLUSHES: u64 = 400;
+/// The numbers of commands in one flush.
+const BATCH_SIZES: [u64; 2] = [1, 64];
+/// The number of active jobs at the target size.
 const ACTIVE_JOBS: u32 = 4_000;
-const TASKS_EACH: u32 = 15;
+const TASKS_PER_JOB: u32 = 15;
+/// The number of request claims at the target size, which are those of ten minutes.
 const CLAIMS: u32 = 60_000;
 
 fn job(number: u32) -> JobSpec {
@@ -26,7 +29,7 @@
             &format!("job-with-a-usual-name-{number}"),
             &format!("team{}", number % 88),
             JobKind::Batch,
-            TASKS_EACH,
+            TASKS_PER_JOB,
             Size::new(1_000, 2_000, 0),
         )
     }
@@ -49,8 +52,8 @@
     postcard::to_allocvec(proposal).unwrap_or_default().into()
 }
 
-/// A cell of one member, whose every commit is one sync of a real file.
-fn lone_replica(folder: &std::path::Path) -> Option<Replica> {
+/// Returns a replica that is the only member of its cell, so that each commit is one sync of a real file.
+fn single_member_replica(folder: &std::path::Path) -> Option<Replica> {
     let folder = DataFolder::open(folder).ok()?;
     let incarnation = Incarnation(folder.incarnation());
     let (disk, restored) = FileDisk::open(folder).ok()?;
@@ -64,13 +67,14 @@
     Some(replica)
 }
 
+/// Measures commits per second with `batch` commands in each flush. Returns `None` if the disk fails.
 fn synced_appends(batch: u64) -> Option<()> {
     let dir = tempfile::tempdir().ok()?;
-    let mut replica = lone_replica(dir.path())?;
+    let mut replica = single_member_replica(dir.path())?;
     let data = encode(&create(1));
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut committed = 0;
-    for _ in 0..SYNCS {
+    for _ in 0..FLUSHES {
         for _ in 0..batch {
             replica.propose(Millis(6_000), data.clone()).ok()?;
         }
@@ -80,38 +84,40 @@
         );
         committed += commands.count();
     }
-    let seconds = begun.elapsed().as_secs_f64();
+    let seconds = started_at.elapsed().as_secs_f64();
     figure(&format!("log_synced_appends_batch_{batch}"), committed as f64 / seconds, "per_s");
     Some(())
 }
 
+/// Measures applying commands, and encoding and decoding a snapshot at the target size.
 fn snapshot() {
     let mut cell = Cell::default();
     let mut index = 0;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for number in 0..ACTIVE_JOBS {
         index += 1;
         cell.apply(index, &create(number));
     }
-    let each = begun.elapsed().as_nanos() as f64 / f64::from(ACTIVE_JOBS) / 1_000.0;
-    figure("cell_apply_create_job", each, "us");
-    let begun = Instant::now();
+    let mean_us = started_at.elapsed().as_nanos() as f64 / f64::from(ACTIVE_JOBS) / 1_000.0;
+    figure("cell_apply_create_job", mean_us, "us");
+    let started_at = Instant::now();
     for number in 0..CLAIMS {
         index += 1;
         cell.apply(index, &claim(number));
     }
-    let each = begun.elapsed().as_nanos() as f64 / f64::from(CLAIMS) / 1_000.0;
-    figure("cell_apply_claim", each, "us");
-    let begun = Instant::now();
+    let mean_us = started_at.elapsed().as_nanos() as f64 / f64::from(CLAIMS) / 1_000.0;
+    figure("cell_apply_claim", mean_us, "us");
+    let started_at = Instant::now();
     let bytes = cell.encode();
-    figure("snapshot_encode_target", begun.elapsed().as_secs_f64() * 1_000.0, "ms");
+    figure("snapshot_encode_target", started_at.elapsed().as_secs_f64() * 1_000.0, "ms");
     figure("snapshot_size_target", bytes.len() as f64 / 1_048_576.0, "MB");
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let decoded = Cell::decode(&bytes);
-    figure("snapshot_decode_target", begun.elapsed().as_secs_f64() * 1_000.0, "ms");
-    assert!(decoded.is_ok_and(|d| d == cell), "a snapshot reads back as it was");
+    figure("snapshot_decode_target", started_at.elapsed().as_secs_f64() * 1_000.0, "ms");
+    assert!(decoded.is_ok_and(|d| d == cell), "a decoded snapshot equals the original");
 }
 
+/// Measures the encoded size of a configuration change.
 fn configuration_change() {
     let text: Arc<str> = "profile = \"packing\"\nupstream_slots = 8\n".repeat(10).into();
     let config = CellConfig::default();
@@ -120,9 +126,9 @@
     figure("configuration_change_size", encode(&proposal).len() as f64, "bytes");
 }
 
-/// Takes the log's measurements.
+/// Runs all measurements of the log and prints their figures.
 pub fn run() {
-    for batch in BATCHES {
+    for batch in BATCH_SIZES {
         if synced_appends(batch).is_none() {
             println!("log_synced_appends_batch_{batch} could not be measured");
         }
--- a/components/bench/src/placing.rs
+++ b/components/bench/src/placing.rs
@@ -1,4 +1,4 @@
-//! How fast placements are decided, by the number of workers.
+//! Measures how fast the planner decides on placements, by the number of workers.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -12,17 +12,23 @@
 
 use crate::figure::figure;
 
-const RUNNING: u32 = 58_000;
+/// The number of tasks that run while decisions are timed.
+const RUNNING_TASKS: u32 = 58_000;
+/// The number of timed decisions for each number of workers and profile.
 const DECISIONS: u32 = 40_000;
-/// How full the workers are while decisions are timed, in percent.
-const FULL_PERCENT: u64 = 80;
-const MEAN_CPU: u64 = 1_000;
+/// The share of the workers' CPU in use while decisions are timed, in percent.
+const FILL_PERCENT: u64 = 80;
+/// The mean CPU of a task in thousandths of a core, see [`size`].
+const MEAN_TASK_CPU: u64 = 1_000;
+/// The numbers of workers to measure.
 const WORKERS: [u32; 3] = [400, 1_600, 3_200];
 
+/// Draws the size of a task.
 fn size(rng: &mut StdRng) -> Size {
     Size::new(rng.random_range(200..1_800), rng.random_range(400..3_600), 0)
 }
 
+/// Returns a job of one task; one job in five is a service.
 fn spec(number: u32, rng: &mut StdRng) -> JobSpec {
     let service = rng.random_range(0..5) == 0;
     JobSpec {
@@ -38,9 +44,10 @@
     }
 }
 
+/// Returns a planner with workers whose CPU is used to [`FILL_PERCENT`] by the running tasks.
 fn planner(workers: u32, profile: Profile) -> Planner {
     let mut planner = Planner::new(Policy { profile, ..Policy::default() });
-    let cpu = u64::from(RUNNING) * MEAN_CPU * 100 / FULL_PERCENT / u64::from(workers);
+    let cpu = u64::from(RUNNING_TASKS) * MEAN_TASK_CPU * 100 / FILL_PERCENT / u64::from(workers);
     for i in 0..workers {
         let ix = planner.ledger.add(WorkerInfo {
             name: format!("w{i}").as_str().into(),
@@ -52,15 +59,17 @@
     planner
 }
 
+/// Submits all running tasks and returns those that the planner has placed.
 fn fill(planner: &mut Planner, rng: &mut StdRng) -> Vec<TaskId> {
     let mut running = Vec::new();
-    for number in 0..RUNNING {
+    for number in 0..RUNNING_TASKS {
         planner.submit(Millis(0), &Arc::new(spec(number, rng)), 1, [0]);
         running.extend(started(planner.plan(Millis(0), 10)));
     }
     running
 }
 
+/// Returns the tasks that the decisions start.
 fn started(decisions: Vec<Decision>) -> Vec<TaskId> {
     let task = |d| match d {
         Decision::Start { task, .. } => Some(task),
@@ -69,35 +78,36 @@
     decisions.into_iter().filter_map(task).collect()
 }
 
-/// Times single decisions while one task ends for each that starts.
-fn time(workers: u32, profile: Profile) -> (f64, Histogram<u64>) {
+/// Times single decisions, where one task ends before each new one is submitted. Returns the mean and the histogram
+/// of the times in nanoseconds.
+fn time_decisions(workers: u32, profile: Profile) -> (f64, Histogram<u64>) {
     let mut rng = StdRng::seed_from_u64(u64::from(workers));
     let mut planner = planner(workers, profile);
     let mut running = fill(&mut planner, &mut rng);
     let mut nanos = Histogram::new(2).unwrap_or_else(|_| unreachable!("two digits are valid"));
     let mut total = 0;
     for number in 0..DECISIONS {
-        let place = rng.random_range(0..running.len());
-        planner.release(&running.swap_remove(place));
-        let spec = Arc::new(spec(RUNNING + number, &mut rng));
-        let begun = Instant::now();
+        let victim = rng.random_range(0..running.len());
+        planner.release(&running.swap_remove(victim));
+        let spec = Arc::new(spec(RUNNING_TASKS + number, &mut rng));
+        let started_at = Instant::now();
         planner.submit(Millis(1), &spec, 1, [0]);
         let decisions = planner.plan(Millis(1), 10);
-        let spent = begun.elapsed().as_nanos() as u64;
-        total += spent;
-        // The histogram grows as it needs to.
-        let _ = nanos.record(spent);
+        let elapsed_nanos = started_at.elapsed().as_nanos() as u64;
+        total += elapsed_nanos;
+        // The histogram resizes itself, so recording does not fail.
+        let _ = nanos.record(elapsed_nanos);
         running.extend(started(decisions));
     }
     (total as f64 / f64::from(DECISIONS), nanos)
 }
 
-/// Times decisions at each number of workers and for each profile.
+/// Times decisions for each profile and number of workers and prints the figures.
 pub fn run() {
     for (profile, name) in [(Profile::Waiting, "waiting"), (Profile::Packing, "packing")] {
         let mut means = Vec::new();
         for workers in WORKERS {
-            let (mean, nanos) = time(workers, profile);
+            let (mean, nanos) = time_decisions(workers, profile);
             let p99 = nanos.value_at_quantile(0.99) as f64 / 1_000.0;
             figure(&format!("placements_{name}_{workers}_workers"), 1e9 / mean, "per_s");
             figure(&format!("decision_p99_{name}_{workers}_workers"), p99, "us");
--- a/components/bench/src/replay.rs
+++ b/components/bench/src/replay.rs
@@ -1,4 +1,4 @@
-//! Replays seeded work through the planner and compares policies: waits by class, and packing.
+//! Replays seeded workloads through the planner and compares policies by waiting times and packing.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -11,37 +11,37 @@
 use rand::rngs::StdRng;
 
 use crate::figure::{Waits, figure};
-use crate::trace::{Event, SPAN, TARGET_ZONE, USERS, User, make};
+use crate::trace::{Event, SPAN, TARGET_ZONE, USERS, User, generate};
 
-/// How long a task takes to checkpoint and stop.
-const CHECKPOINT: Millis = Millis(800);
-/// How many seeds are averaged.
+/// The time that an evicted task takes to write its checkpoint and stop.
+const CHECKPOINT_TIME: Millis = Millis(800);
+/// The number of seeds over which figures are taken.
 const SEEDS: u64 = 3;
 
-/// A policy under comparison.
-struct Entrant {
+/// A policy to compare.
+struct PolicyVariant {
     name: &'static str,
     profile: Profile,
     baseline: Option<Baseline>,
     backfill: bool,
 }
 
-const ENTRANTS: [Entrant; 5] = [
-    Entrant { name: "waiting", profile: Profile::Waiting, baseline: None, backfill: true },
-    Entrant { name: "packing", profile: Profile::Packing, baseline: None, backfill: true },
-    Entrant {
+const POLICY_VARIANTS: [PolicyVariant; 5] = [
+    PolicyVariant { name: "waiting", profile: Profile::Waiting, baseline: None, backfill: true },
+    PolicyVariant { name: "packing", profile: Profile::Packing, baseline: None, backfill: true },
+    PolicyVariant {
         name: "packing_no_backfill",
         profile: Profile::Packing,
         baseline: None,
         backfill: false,
     },
-    Entrant {
+    PolicyVariant {
         name: "first_fit",
         profile: Profile::Packing,
         baseline: Some(Baseline::FirstFit),
         backfill: true,
     },
-    Entrant {
+    PolicyVariant {
         name: "spread_only",
         profile: Profile::Packing,
         baseline: Some(Baseline::SpreadOnly),
@@ -49,48 +49,52 @@
     },
 ];
 
+/// A scheduled event of a task, with the number of its start.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum ScheduledEvent {
     Ends(TaskId, u64),
     Stopped(TaskId, u64),
 }
 
-/// What one replay gives.
+/// The results of the replays of one policy.
 #[derive(Default)]
 struct Outcome {
     waits: BTreeMap<Class, Waits>,
     gang_waits: Waits,
-    /// Used thousandths of each dimension, summed over looks while work waited.
+    /// The used thousandths of each dimension, summed over the samples taken while tasks waited.
     packing: [u64; 3],
-    looks: u64,
+    packing_samples: u64,
     started: u64,
     evicted: u64,
-    hopeless: u64,
+    unplaceable: u64,
 }
 
+/// A replay under way.
 struct Replay<'a> {
     planner: Planner,
     out: &'a mut Outcome,
-    really: BTreeMap<JobName, Millis>,
+    actual_run_time: BTreeMap<JobName, Millis>,
     arrived: BTreeMap<JobName, Millis>,
     order: Vec<JobName>,
-    due: BinaryHeap<Reverse<(Millis, Due)>>,
-    /// Counts the starts of each task, so that an end of an earlier one is not taken for a later's.
+    due: BinaryHeap<Reverse<(Millis, ScheduledEvent)>>,
+    /// The number of starts of each task, so that the end of an earlier start is not applied to a later one.
     starts: BTreeMap<TaskId, u64>,
-    /// What checkpointed tasks have left to run.
-    left: BTreeMap<TaskId, Millis>,
+    /// The remaining run time of checkpointed tasks.
+    remaining: BTreeMap<TaskId, Millis>,
     now: Millis,
 }
 
 impl Replay<'_> {
-    fn arrive(&mut self, spec: JobSpec, really: Millis) {
+    /// Submits a job.
+    fn arrive(&mut self, spec: JobSpec, actual_run_time: Millis) {
         let (name, tasks) = (spec.name.clone(), spec.tasks);
-        self.really.insert(name.clone(), really);
+        self.actual_run_time.insert(name.clone(), actual_run_time);
         self.arrived.insert(name.clone(), self.now);
         self.order.push(name);
         self.planner.submit(self.now, &Arc::new(spec), 1, 0..tasks);
     }
 
+    /// Plans and applies the decisions.
     fn plan(&mut self) {
         for decision in self.planner.plan(self.now, usize::MAX) {
             match decision {
@@ -98,13 +102,17 @@
                 Decision::Evict { task, .. } => {
                     self.out.evicted += 1;
                     let start = self.starts[&task];
-                    self.due.push(Reverse((self.now + CHECKPOINT, Due::Stopped(task, start))));
+                    self.due.push(Reverse((
+                        self.now + CHECKPOINT_TIME,
+                        ScheduledEvent::Stopped(task, start),
+                    )));
                 }
-                Decision::Unplaceable { .. } => self.out.hopeless += 1,
+                Decision::Unplaceable { .. } => self.out.unplaceable += 1,
             }
         }
     }
 
+    /// Records the start of a task and schedules its end.
     fn start(&mut self, task: TaskId) {
         let Some(placed) = self.planner.placed(&task) else { return };
         let class = placed.spec.class;
@@ -118,25 +126,31 @@
                 self.out.gang_waits.note(wait);
             }
         }
-        let really = self.left.get(&task).copied().unwrap_or(self.really[&task.job]);
-        if really < Millis::MAX {
-            self.due.push(Reverse((self.now + really, Due::Ends(task, *count))));
+        let actual_run_time =
+            self.remaining.get(&task).copied().unwrap_or(self.actual_run_time[&task.job]);
+        if actual_run_time < Millis::MAX {
+            self.due
+                .push(Reverse((self.now + actual_run_time, ScheduledEvent::Ends(task, *count))));
         }
     }
 
-    fn happen(&mut self, due: Due) {
+    /// Applies a scheduled event, unless the task has been started again since.
+    fn handle_due(&mut self, due: ScheduledEvent) {
         match due {
-            Due::Ends(task, start) if self.starts.get(&task) == Some(&start) => {
+            ScheduledEvent::Ends(task, start) if self.starts.get(&task) == Some(&start) => {
                 if let Some(placed) = self.planner.release(&task) {
-                    let ran = self.really[&task.job];
+                    let ran = self.actual_run_time[&task.job];
                     self.planner.estimator.learn(&placed.spec, ran);
                 }
             }
-            Due::Stopped(task, start) if self.starts.get(&task) == Some(&start) => {
+            ScheduledEvent::Stopped(task, start) if self.starts.get(&task) == Some(&start) => {
                 if let Some(p) = self.planner.release(&task) {
-                    // A checkpoint keeps what the task has done.
-                    let left = self.left.entry(task.clone()).or_insert(self.really[&task.job]);
-                    *left = left.since(self.now.since(p.since)).max(Millis(1));
+                    // The checkpoint keeps the progress, so the task continues with the remaining time.
+                    let remaining = self
+                        .remaining
+                        .entry(task.clone())
+                        .or_insert(self.actual_run_time[&task.job]);
+                    *remaining = remaining.since(self.now.since(p.since)).max(Millis(1));
                     self.planner.submit(self.now, &p.spec, p.generation, [task.index]);
                 }
             }
@@ -144,7 +158,8 @@
         }
     }
 
-    fn rack(&mut self, rack: u32, dies: bool) {
+    /// Removes or returns the workers of a rack; tasks on removed workers wait again.
+    fn change_rack(&mut self, rack: u32, dies: bool) {
         let name = rack_name(rack);
         let there: Vec<WorkerIndex> = self
             .planner
@@ -168,7 +183,8 @@
         self.planner.reexamine_stuck();
     }
 
-    fn cancel(&mut self, jobs: usize) {
+    /// Cancels the given number of newest jobs.
+    fn cancel_newest(&mut self, jobs: usize) {
         let newest: Vec<JobName> = self.order.iter().rev().take(jobs).cloned().collect();
         for job in newest {
             self.planner.withdraw(&job);
@@ -184,11 +200,12 @@
         }
     }
 
-    fn look(&mut self) {
+    /// Samples the used capacity, if any task waits.
+    fn sample_packing(&mut self) {
         if self.planner.queue().is_empty() {
             return;
         }
-        self.out.looks += 1;
+        self.out.packing_samples += 1;
         for (sum, used) in self.out.packing.iter_mut().zip(self.planner.packing()) {
             *sum += used;
         }
@@ -199,13 +216,14 @@
     format!("r{rack}")
 }
 
-fn replay(user: &User, entrant: &Entrant, seed: u64, out: &mut Outcome) {
+/// Replays one trace under one policy and adds the results to `out`.
+fn replay(user: &User, variant: &PolicyVariant, seed: u64, out: &mut Outcome) {
     let mut rng = StdRng::seed_from_u64(seed);
-    let events = make(user, &mut rng);
+    let events = generate(user, &mut rng);
     let policy = Policy {
-        profile: entrant.profile,
-        baseline: entrant.baseline,
-        backfill: entrant.backfill,
+        profile: variant.profile,
+        baseline: variant.baseline,
+        backfill: variant.backfill,
         ..Policy::default()
     };
     let mut planner = Planner::new(policy);
@@ -220,12 +238,12 @@
     let mut r = Replay {
         planner,
         out,
-        really: BTreeMap::new(),
+        actual_run_time: BTreeMap::new(),
         arrived: BTreeMap::new(),
         order: Vec::new(),
         due: BinaryHeap::new(),
         starts: BTreeMap::new(),
-        left: BTreeMap::new(),
+        remaining: BTreeMap::new(),
         now: Millis::ZERO,
     };
     let mut events = events.into_iter().peekable();
@@ -239,48 +257,49 @@
         r.now = at;
         while r.due.peek().is_some_and(|Reverse((due, _))| *due <= at) {
             if let Some(Reverse((_, due))) = r.due.pop() {
-                r.happen(due);
+                r.handle_due(due);
             }
         }
         while let Some((_, event)) = events.next_if(|(t, _)| *t <= at) {
             match event {
-                Event::Arrive(a) => r.arrive(a.spec, a.really),
-                Event::RackDies(rack) => r.rack(rack, true),
-                Event::RackReturns(rack) => r.rack(rack, false),
-                Event::CancelWave(jobs) => r.cancel(jobs),
+                Event::Arrive(a) => r.arrive(a.spec, a.actual_run_time),
+                Event::RackDies(rack) => r.change_rack(rack, true),
+                Event::RackReturns(rack) => r.change_rack(rack, false),
+                Event::CancelWave(jobs) => r.cancel_newest(jobs),
             }
         }
         r.plan();
-        r.look();
+        r.sample_packing();
     }
 }
 
-fn measure(user: &User, entrant: &Entrant, seeds: u64) {
+/// Replays a user's workload under one policy for each seed and prints the figures.
+fn measure(user: &User, variant: &PolicyVariant, seeds: u64) {
     let mut out = Outcome::default();
     for seed in 0..seeds {
-        replay(user, entrant, seed, &mut out);
+        replay(user, variant, seed, &mut out);
     }
-    let name = format!("{}_{}", user.name, entrant.name);
+    let name = format!("{}_{}", user.name, variant.name);
     for (class, waits) in &out.waits {
         waits.print(&format!("task_wait_{name}_{}", class.as_str()));
     }
     out.gang_waits.print(&format!("task_wait_{name}_gang"));
     for (dimension, sum) in ["cpu", "memory"].iter().zip(out.packing) {
-        let part = sum as f64 / out.looks.max(1) as f64 / 10.0;
-        figure(&format!("packing_{name}_{dimension}"), part, "percent");
+        let percent = sum as f64 / out.packing_samples.max(1) as f64 / 10.0;
+        figure(&format!("packing_{name}_{dimension}"), percent, "percent");
     }
     figure(&format!("tasks_started_{name}"), out.started as f64 / seeds as f64, "tasks");
     figure(&format!("tasks_evicted_{name}"), out.evicted as f64 / seeds as f64, "tasks");
 }
 
-/// Replays each user's work under each policy, and a zone of the target under ours.
+/// Replays each user's workload under each policy, and a zone of the target under the production policies only.
 pub fn run() {
     for user in &USERS {
-        for entrant in &ENTRANTS {
-            measure(user, entrant, SEEDS);
+        for variant in &POLICY_VARIANTS {
+            measure(user, variant, SEEDS);
         }
     }
-    for entrant in ENTRANTS.iter().filter(|e| e.baseline.is_none() && e.backfill) {
-        measure(&TARGET_ZONE, entrant, 1);
+    for variant in POLICY_VARIANTS.iter().filter(|e| e.baseline.is_none() && e.backfill) {
+        measure(&TARGET_ZONE, variant, 1);
     }
 }
