--- a/scripts/bench-cell.sh
+++ b/scripts/bench-cell.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Measures a whole cell on loopback: configuration, take-over, requests, control cost. One line a figure.
-# Times are read by polling the command line, so that they are good to about 50 ms.
+# Measures a whole cell on loopback: configuration changes, take-over of zones, requests and the cost of the
+# control plane. Prints one line per figure. Times come from polling the command-line tool, so their resolution
+# is about 50 ms.
 set -u
 cd "$(dirname "$0")/.."
 BIN=${BIN:-$PWD/target/release}
@@ -43,7 +44,7 @@
   awk '{ print $2 }' "$WORK/config.txt" | quantiles configuration_in_force_after_accepted ms
 }
 
-# A burst from ten operators who each try again after a lost race.
+# Measures a burst of changes from ten operators, each of which retries after a version conflict.
 burst() {
   local begun
   begun=$(now_ms)
@@ -136,7 +137,7 @@
   quantiles election_of_a_leader ms <"$WORK/elections.txt"
 }
 
-# The slope of an allocator's cost: the mean of the three that allocate, at two sizes of a zone.
+# Measures the mean CPU time of the three allocators. Called for two sizes of a zone, which gives the slope.
 allocators_cost() {
   local seconds=10 spent=0 holders=()
   for zone in "${ZONES[@]}"; do holders+=("$(allocator_of "$zone")"); done
--- a/scripts/cell.sh
+++ b/scripts/cell.sh
@@ -1,15 +1,15 @@
-# Functions that start and end a cell of stand-ins and instances on loopback. Sourced by the demo
-# and the proof; the processes are started from the shell, since none of ours starts another.
+# Functions that start and stop a cell on loopback: instances and simulated workers. Sourced by demo.sh,
+# prove.sh and bench-cell.sh. The shell starts all processes, since none of the programs starts another.
 #
-# It needs BIN (folder of the programs), WORK (an empty folder) and leaves the processes' ids in PIDS.
+# Needs BIN (directory of the programs) and WORK (an empty directory). Keeps the process ids in PIDS.
 
 declare -A PIDS=()
 ZONES=(za zb zc)
 
-# A loopback address of this run's own, so that nobody else takes a port between its choice and its use.
+# A loopback address for this run only, so that no other process takes a port between its choice and its use.
 HOST=127.$((2 + $$ / 65536 % 8)).$(($$ / 256 % 256)).$((2 + $$ % 250))
 
-# Finds $1 free ports, one a line; nothing is fixed.
+# Prints $1 free ports, one per line.
 free_ports() {
   python3 - "$1" "$HOST" <<'PY'
 import socket, sys
@@ -21,7 +21,8 @@
 PY
 }
 
-# Chooses all addresses: INSTANCES (names), PEERS, OPERATORS, CALLERS, WORKERS, and ADDR_* maps.
+# Chooses all names and addresses: sets INSTANCES, WORKERS, PEERS, OPERATORS, CALLERS, PLATFORM_PORT, and the
+# maps *_PORT, ZONE_OF and HAS_DISK. $1 is the number of workers in each zone.
 plan_cell() {
   local workers_per_zone=$1
   local count=$((6 * 3 + 3 * workers_per_zone + 1))
@@ -61,7 +62,7 @@
   export HEATHVALE_INSTANCES=$OPERATORS
 }
 
-# Writes the platform's list; the names in LEAVING are listed as leaving, those in GONE not at all.
+# Writes the platform's list of workers. Workers in LEAVING are listed as leaving, those in GONE are left out.
 write_list() {
   {
     local first=1
@@ -112,14 +113,14 @@
   for name in "${INSTANCES[@]}"; do start_instance "$name"; done
 }
 
-# Ends one process by its id, at once, and waits for it.
+# Kills one process with SIGKILL and waits for it to end.
 kill_now() {
   kill -9 "${PIDS[$1]}" 2>/dev/null
   wait "${PIDS[$1]}" 2>/dev/null
   unset "PIDS[$1]"
 }
 
-# Ends everything that was started, by id.
+# Kills all started processes by id, including stopped ones, and waits for them to end.
 end_cell() {
   for name in "${!PIDS[@]}"; do
     kill -CONT "${PIDS[$name]}" 2>/dev/null
@@ -129,7 +130,7 @@
   PIDS=()
 }
 
-# Waits up to $1 seconds until the rest of the line succeeds.
+# Runs the remaining arguments as a command until it succeeds, for up to $1 seconds.
 wait_until() {
   local tries=$(($1 * 5))
   shift
@@ -140,14 +141,14 @@
   return 1
 }
 
-# Counts the instances that allocate for their zone.
+# Prints the number of instances that are the allocator of their zone.
 allocators() {
   "$BIN/heathvale" status 2>/dev/null | grep -c ' allocates$'
 }
 
 all_zones_allocated() { [ "$(allocators)" = 3 ]; }
 
-# Gives how many tasks of a job are in a state.
+# Prints how many tasks of job $1 are in state $2.
 tasks_in() {
   "$BIN/heathvale" show "$1" 2>/dev/null | awk -v s="$2" 'NR > 1 && $4 == s { n++ } END { print n + 0 }'
 }
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Shows a whole cell at work on loopback: unlike work placed and run, requests served end to end, and
-# a kill -9 of each kind of process survived. Each step is checked; the exit code is 0 only if all
-# checks held. Nothing is left behind.
+# Demonstrates a whole cell on loopback: it places and runs jobs of different kinds, serves requests end to
+# end, and survives a kill -9 of each kind of process. Each step is checked, and the exit code is 0 only if
+# all checks pass. All processes are stopped at the end; logs are kept only after a failure.
 set -u
 cd "$(dirname "$0")/.."
 BIN=${BIN:-$PWD/target/debug}
@@ -18,7 +18,7 @@
 
 step() { printf '\n== %s\n' "$*"; }
 
-# check TEXT COMMAND...: runs the command and notes whether it held.
+# check TEXT COMMAND...: runs the command, prints whether it succeeded and records a failure.
 check() {
   local text=$1
   shift
@@ -34,7 +34,7 @@
 
 job_is() { hv list 2>/dev/null | awk -v j="$1" -v s="$2" '$1 == j && $5 == s { ok = 1 } END { exit !ok }'; }
 
-# Sends load and checks that every request was answered, whole, and that most were done.
+# Sends 200 requests with seed $1 and checks that each got a complete answer and at least $2 were done.
 load_is_served() {
   local out
   out=$(hv load --to "$CALLERS" --rate 100 --seconds 2 --once-percent 20 --seed "$1") || return 1
@@ -84,8 +84,8 @@
 check "another instance leads" wait_until 15 bash -c \
   "$BIN/heathvale status 2>/dev/null | grep -v '^$leader ' | grep -q ' leader leader '"
 start_instance "$leader"
-# A zone's events are kept by its instances alone, which copy them from each other: its allocator, which may
-# be the other one, must not be killed before this one has them again.
+# Only the instances of a zone keep its events, and they copy them from each other. The zone's allocator, which
+# may be the other instance, must not be killed before this one has copied the events again.
 check "$leader is back" wait_until 15 bash -c \
   "$BIN/heathvale status | grep '^$leader ' | grep -vq not-ready"
 sleep 1
@@ -115,7 +115,7 @@
 check "the ended jobs are still known" job_is nightly-match ended
 check "200 requests answered whole, at least 190 done" load_is_served 2 190
 
-# Stops an instance while callers send to it, and checks that none of their requests broke off.
+# Stops instance $1 with SIGTERM while callers send requests to it, and checks that no request is cut off.
 stop_under_load() {
   local stopped=$1
   hv load --to "$HOST:${CALLER_PORT[$stopped]}" --rate 50 --seconds 2 --work-ms 200 \
--- a/scripts/prove.sh
+++ b/scripts/prove.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Runs a cell under load while it kills, freezes and restarts instances and workers, empties data
-# folders, cuts zones and lets operators race; then checks the workers' own records. Bounded and seeded.
+# Runs a cell under load and injects faults: it kills, freezes and restarts instances and workers, empties
+# data directories, cuts off zones and lets operators race. It then checks the records of the workers.
 #
-# SEED chooses the faults, ROUNDS how many there are.
+# SEED selects the faults, ROUNDS is their number.
 set -u
 cd "$(dirname "$0")/.."
 BIN=${BIN:-$PWD/target/debug}
@@ -29,7 +29,7 @@
 pick() { echo "${@:$((RANDOM % $# + 1)):1}"; }
 say() { echo "$(date +%T) $*"; }
 
-# The kill is logged before and after, so that the later time bounds when the process ended.
+# Logs the kill once the process has ended, so that the logged time is an upper bound of its end.
 kill_logged() {
   kill_now "$1"
   fault kill "$1"
@@ -62,7 +62,7 @@
   [ "$(hv status 2>/dev/null | grep -c '  members za1 voter, zb1 voter, zc1 voter$')" = 6 ]
 }
 
-# A disk is emptied only while all others are whole: two lost disks of three are beyond any quorum.
+# Empties a data directory, but only while all members are voters: losing two disks of three loses the quorum.
 empty_disk() {
   say "empty the data folder of $1"
   wait_until 40 members_whole || { say "the members are not whole; skipped" && return; }
@@ -72,7 +72,8 @@
   wait_until 40 members_whole || say "the members are not whole again"
 }
 
-# A synced byte is changed: the instance refuses to start, and is repaired from its peers.
+# Overwrites a synced byte of the log. The instance must refuse to start; with an empty data directory it then
+# catches up from its peers.
 damage_disk() {
   say "damage the log of $1"
   wait_until 40 members_whole || { say "the members are not whole; skipped" && return; }
@@ -90,7 +91,7 @@
   wait_until 40 members_whole || say "the members are not whole again"
 }
 
-# Refuses all links between one zone's instances and the others'.
+# Refuses all links between the instances of zone $1 and all others for $2 seconds.
 cut_zone() {
   say "cut zone $1 for $2 s"
   for name in "${INSTANCES[@]}"; do
@@ -107,7 +108,7 @@
 
 heal() { rm -f "$WORK"/refuse-*; }
 
-# Two operators change the configuration from the same version; each sends again under its key.
+# Lets two operators change the configuration from the same base version, each with a request key for its retries.
 race() {
   local base
   base=$(hv config 2>/dev/null | awk 'NR == 1 { print $3 }')
@@ -137,7 +138,7 @@
   timeout 60 "$BIN/heathvale" cancel "${names[@]}" >/dev/null 2>&1
 }
 
-# Notes the configuration's version on each instance, again and again.
+# Logs the configuration version of each instance every half second.
 sample() {
   while true; do
     hv status 2>/dev/null | awk -v t="$(now_ms)" '/ zone / {
@@ -216,7 +217,7 @@
 load &
 LOADER=$!
 
-# A cut long enough that movable tasks are given to other zones; the zone's own must have stopped.
+# The cut lasts long enough for movable tasks to be moved to other zones, while the zone itself must stop them.
 cut_zone zb 25
 hv timeline 2>/dev/null | grep -q share_moved || { say "no share has moved" && MOVED=1; }
 
--- a/scripts/setup.sh
+++ b/scripts/setup.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Installs what the build needs besides Rust: cmake and a C compiler for the nng library, python3 for
-# the scripts that choose free ports.
+# Installs the build dependencies besides Rust: cmake, make and a C compiler for the nng library, and
+# python3 for the scripts that choose free ports.
 set -eu
 missing=()
 command -v cmake >/dev/null || missing+=(cmake)
