--- a/components/bench/src/leases.rs
+++ b/components/bench/src/leases.rs
@@ -12,7 +12,9 @@
 
 use crate::figure::{figure, resident_kilobytes};
 
+/// The duration of a worker's lease.
 const WORKER_LEASE: Millis = Millis(3_000);
+/// The number of tasks that each worker runs.
 const TASKS_PER_WORKER: u32 = 18;
 /// The numbers of workers to measure. The target has 400 in each of its zones; the others show the slope. The largest
 /// comes first, since its memory figure needs a process whose heap has not grown yet.
--- a/components/bench/src/log.rs
+++ b/components/bench/src/log.rs
@@ -18,6 +18,7 @@
 const BATCH_SIZES: [u64; 2] = [1, 64];
 /// The number of active jobs at the target size.
 const ACTIVE_JOBS: u32 = 4_000;
+/// The number of tasks of a job.
 const TASKS_PER_JOB: u32 = 15;
 /// The number of request claims at the target size, which are those of ten minutes.
 const CLAIMS: u32 = 60_000;
--- a/components/bench/src/requests.rs
+++ b/components/bench/src/requests.rs
@@ -15,8 +15,11 @@
 
 use crate::figure::{Waits, figure};
 
+/// The number of upstreams.
 const UPSTREAMS: usize = 20;
+/// The request slots of each upstream, which the instances share.
 const SLOTS: u32 = 8;
+/// The number of instances that route requests.
 const INSTANCES: usize = 2;
 /// The mean work of a request, in milliseconds.
 const MEAN_WORK_MS: f64 = 40.0;
--- a/components/testkit/examples/verdict.rs
+++ b/components/testkit/examples/verdict.rs
@@ -71,7 +71,7 @@
             self.failed = true;
         }
         if count < self.least {
-            println!("  only {count} checked, at least {} mean anything", self.least);
+            println!("  only {count} checked, at least {} are required", self.least);
             self.failed = true;
         }
     }
--- a/components/testkit/src/platform_worker.rs
+++ b/components/testkit/src/platform_worker.rs
@@ -61,8 +61,11 @@
     highest_closed: BTreeMap<String, u64>,
     /// The ended runs that are not acknowledged yet: number of the end, task, run and ending.
     finished: Vec<(u64, String, u64, &'static str)>,
+    /// The number of the last end in this incarnation.
     last_number: u64,
+    /// How often a start exceeded the CPU, in all incarnations.
     overcommits: usize,
+    /// How often the worker has crashed or was restarted.
     crashes: usize,
 }
 
