--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,5 +1,5 @@
-//! Whole answers only to their own request: late, crossed, cut and doubled answers of upstreams, and
-//! what callers are told.
+//! Tests that a caller receives only the complete answer to its own request: upstreams answer late, truncated, twice or
+//! for another request, and each case checks the outcome that the caller receives.
 
 mod common;
 
@@ -11,20 +11,20 @@
 use common::{Behaviour, Wire, cell, wait_until, whole_answer, write_wire};
 use upstream::{WorkerState, headers};
 
-fn answer_with(stream: &mut TcpStream, id: &str, length: usize, body: &[u8]) -> bool {
+fn answer_with_length(stream: &mut TcpStream, id: &str, length: usize, body: &[u8]) -> bool {
     let head = [(headers::REQUEST, id.to_string()), (headers::BODY_LENGTH, length.to_string())];
     write_wire(stream, "HTTP/1.1 200 OK", &head, body).is_ok()
 }
 
-fn for_another(stream: &mut TcpStream, _: &Wire) -> bool {
-    answer_with(stream, "another", 5, b"other")
+fn answer_for_another_request(stream: &mut TcpStream, _: &Wire) -> bool {
+    answer_with_length(stream, "another", 5, b"other")
 }
 
-fn without_an_id(stream: &mut TcpStream, _: &Wire) -> bool {
+fn answer_without_id(stream: &mut TcpStream, _: &Wire) -> bool {
     write_wire(stream, "HTTP/1.1 200 OK", &[], b"whose?").is_ok()
 }
 
-fn cut_in_the_body(stream: &mut TcpStream, req: &Wire) -> bool {
+fn answer_with_truncated_body(stream: &mut TcpStream, req: &Wire) -> bool {
     let id = req.header(headers::REQUEST);
     let head = format!(
         "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n{}: {id}\r\n{}: 9\r\n\r\nhalf",
@@ -35,46 +35,46 @@
     false
 }
 
-fn shorter_than_told(stream: &mut TcpStream, req: &Wire) -> bool {
-    answer_with(stream, req.header(headers::REQUEST), 99, b"short")
+fn answer_with_shorter_body(stream: &mut TcpStream, req: &Wire) -> bool {
+    answer_with_length(stream, req.header(headers::REQUEST), 99, b"short")
 }
 
-fn closed_at_once(_: &mut TcpStream, _: &Wire) -> bool {
+fn close_immediately(_: &mut TcpStream, _: &Wire) -> bool {
     false
 }
 
-fn never(_: &mut TcpStream, _: &Wire) -> bool {
+fn never_answer(_: &mut TcpStream, _: &Wire) -> bool {
     thread::sleep(Duration::from_secs(12));
     false
 }
 
-fn full(stream: &mut TcpStream, req: &Wire) -> bool {
+fn refuse_as_full(stream: &mut TcpStream, req: &Wire) -> bool {
     let id = req.header(headers::REQUEST).to_string();
     let head = [(headers::REQUEST, id), (headers::NOT_RUN, "1".to_string())];
     write_wire(stream, "HTTP/1.1 503 Full", &head, b"").is_ok()
 }
 
-fn leaving(stream: &mut TcpStream, req: &Wire) -> bool {
+fn refuse_as_leaving(stream: &mut TcpStream, req: &Wire) -> bool {
     let id = req.header(headers::REQUEST).to_string();
     let one = || "1".to_string();
     let head = [(headers::REQUEST, id), (headers::NOT_RUN, one()), (headers::LEAVING, one())];
     write_wire(stream, "HTTP/1.1 503 Leaving", &head, b"").is_ok()
 }
 
-fn failing(stream: &mut TcpStream, req: &Wire) -> bool {
+fn answer_with_failure(stream: &mut TcpStream, req: &Wire) -> bool {
     let id = req.header(headers::REQUEST).to_string();
     let head = [(headers::REQUEST, id), (headers::BODY_LENGTH, "0".to_string())];
     write_wire(stream, "HTTP/1.1 500 Broken", &head, b"").is_ok()
 }
 
-/// A late answer to an earlier request stands on the connection before the own one.
-fn doubled(stream: &mut TcpStream, req: &Wire) -> bool {
+/// Answers twice, so that the second copy is still unread when the next request uses the connection.
+fn answer_twice(stream: &mut TcpStream, req: &Wire) -> bool {
     whole_answer(stream, req) && whole_answer(stream, req)
 }
 
 const REPEATABLE: &[(&str, &str)] = &[(headers::DEADLINE, "4000")];
 
-fn once(key: &str) -> Vec<(&'static str, String)> {
+fn not_repeatable_headers(key: &str) -> Vec<(&'static str, String)> {
     vec![
         (headers::DEADLINE, "4000".to_string()),
         (headers::REPEATABLE, "no".to_string()),
@@ -83,16 +83,16 @@
     ]
 }
 
-fn call_once(instance: &common::Instance, id: &str, key: &str) -> Wire {
-    let extra = once(key);
+fn call_not_repeatable(instance: &common::Instance, id: &str, key: &str) -> Wire {
+    let extra = not_repeatable_headers(key);
     let extra: Vec<(&str, &str)> = extra.iter().map(|(k, v)| (*k, v.as_str())).collect();
     instance.call(id, &extra)
 }
 
-/// A single upstream that behaves so, and what the caller of a request is told: first of one that may
-/// be repeated, then of one that may not.
-macro_rules! told {
-    ($($name:ident: $behaviour:expr => $repeatable:expr, $once:expr;)*) => {$(
+/// Generates tests with a single upstream of the given behaviour. Each checks the outcome that the caller receives, first
+/// for a repeatable request and then for one that is not repeatable.
+macro_rules! outcome_tests {
+    ($($name:ident: $behaviour:expr => $repeatable:expr, $not_repeatable:expr;)*) => {$(
         #[test]
         fn $name() {
             let behaviour: Behaviour = $behaviour;
@@ -102,9 +102,9 @@
             assert_eq!(answer.header(headers::REQUEST), "r1");
             assert_eq!(answer.header(headers::BODY_LENGTH), answer.body.len().to_string());
             let before = upstreams[0].runs();
-            let answer = call_once(&instance, "r2", "k2");
-            assert_eq!(answer.header(headers::OUTCOME), $once, "{answer:?}");
-            assert!(upstreams[0].runs() <= before + 1, "it was sent more than once");
+            let answer = call_not_repeatable(&instance, "r2", "k2");
+            assert_eq!(answer.header(headers::OUTCOME), $not_repeatable, "{answer:?}");
+            assert!(upstreams[0].runs() <= before + 1, "the request was sent more than once");
             if answer.header(headers::OUTCOME) == "refused" {
                 assert!(answer.header(headers::RETRY_AFTER_MS).parse::<u64>().unwrap() > 0);
                 assert!(answer.header("retry-after").parse::<u64>().unwrap() > 0);
@@ -113,23 +113,23 @@
     )*};
 }
 
-told! {
+outcome_tests! {
     a_whole_answer: whole_answer => "done", "done";
-    an_answer_for_another_request: for_another => "may-have-run", "may-have-run";
-    an_answer_without_an_id: without_an_id => "may-have-run", "may-have-run";
-    an_answer_cut_in_the_body: cut_in_the_body => "may-have-run", "may-have-run";
-    an_answer_shorter_than_told: shorter_than_told => "may-have-run", "may-have-run";
-    a_connection_closed_at_once: closed_at_once => "may-have-run", "may-have-run";
-    no_answer_in_time: never => "may-have-run", "may-have-run";
-    an_upstream_that_is_full: full => "refused", "refused";
-    an_upstream_that_is_leaving: leaving => "refused", "refused";
-    an_upstream_that_fails: failing => "failed", "failed";
-}
-
-/// One bad upstream beside a good one: a request that may be repeated, or did not run, is done by the
-/// good one.
-macro_rules! rescued {
-    ($($name:ident: $behaviour:expr => $once:expr;)*) => {$(
+    an_answer_for_another_request: answer_for_another_request => "may-have-run", "may-have-run";
+    an_answer_without_an_id: answer_without_id => "may-have-run", "may-have-run";
+    an_answer_cut_in_the_body: answer_with_truncated_body => "may-have-run", "may-have-run";
+    an_answer_shorter_than_told: answer_with_shorter_body => "may-have-run", "may-have-run";
+    a_connection_closed_at_once: close_immediately => "may-have-run", "may-have-run";
+    no_answer_in_time: never_answer => "may-have-run", "may-have-run";
+    an_upstream_that_is_full: refuse_as_full => "refused", "refused";
+    an_upstream_that_is_leaving: refuse_as_leaving => "refused", "refused";
+    an_upstream_that_fails: answer_with_failure => "failed", "failed";
+}
+
+/// Generates tests with one faulty upstream beside a healthy one. The healthy one completes every request that is
+/// repeatable or that did not run at the faulty one.
+macro_rules! retry_tests {
+    ($($name:ident: $behaviour:expr => $not_repeatable:expr;)*) => {$(
         #[test]
         fn $name() {
             let behaviour: Behaviour = $behaviour;
@@ -140,25 +140,26 @@
                 assert_eq!(answer.header(headers::OUTCOME), "done", "{answer:?}");
                 assert_eq!(answer.body, format!("ran:{id}").as_bytes());
             }
-            let allowed: &[&str] = $once;
-            let answer = call_once(&instance, "r9", "k9");
+            let allowed: &[&str] = $not_repeatable;
+            let answer = call_not_repeatable(&instance, "r9", "k9");
             assert!(allowed.contains(&answer.header(headers::OUTCOME)), "{answer:?}");
         }
     )*};
 }
 
-rescued! {
-    beside_one_that_closes: closed_at_once => &["done", "may-have-run"];
-    beside_one_that_answers_others: for_another => &["done", "may-have-run"];
-    beside_one_that_is_full: full => &["done"];
-    beside_one_that_is_leaving: leaving => &["done"];
+retry_tests! {
+    beside_one_that_closes: close_immediately => &["done", "may-have-run"];
+    beside_one_that_answers_others: answer_for_another_request => &["done", "may-have-run"];
+    beside_one_that_is_full: refuse_as_full => &["done"];
+    beside_one_that_is_leaving: refuse_as_leaving => &["done"];
 }
 
 #[test]
 fn a_not_repeatable_request_that_may_have_run_is_sent_nowhere_else() {
-    let (instance, _platform, upstreams) = cell(&[closed_at_once, closed_at_once, closed_at_once]);
+    let (instance, _platform, upstreams) =
+        cell(&[close_immediately, close_immediately, close_immediately]);
     for i in 0..5 {
-        let answer = call_once(&instance, &format!("r{i}"), &format!("k{i}"));
+        let answer = call_not_repeatable(&instance, &format!("r{i}"), &format!("k{i}"));
         assert_eq!(answer.header(headers::OUTCOME), "may-have-run", "{answer:?}");
         let runs: u32 = upstreams.iter().map(|u| u.runs()).sum();
         assert_eq!(runs, i + 1);
@@ -167,27 +168,34 @@
 
 #[test]
 fn a_refused_retry_does_not_hide_a_try_that_may_have_run() {
-    let (instance, _platform, upstreams) = cell(&[closed_at_once, full]);
-    let mut hidden = 0;
+    let (instance, _platform, upstreams) = cell(&[close_immediately, refuse_as_full]);
+    let mut may_have_run_count = 0;
     for i in 0..8 {
         let before = upstreams[0].runs();
         let answer = instance.call(&format!("r{i}"), REPEATABLE);
         if upstreams[0].runs() > before {
             assert_eq!(answer.header(headers::OUTCOME), "may-have-run", "{answer:?}");
-            hidden += 1;
+            may_have_run_count += 1;
         }
     }
-    assert!(hidden > 0, "no request met the upstream that closes");
+    assert!(
+        may_have_run_count > 0,
+        "no request was sent to the upstream that closes its connections"
+    );
 }
 
 #[test]
 fn a_doubled_answer_is_never_given_to_the_next_request() {
-    let (instance, _platform, _upstreams) = cell(&[doubled]);
+    let (instance, _platform, _upstreams) = cell(&[answer_twice]);
     for i in 0..20 {
         let id = format!("r{i}");
         let answer = instance.call(&id, REPEATABLE);
         if answer.header(headers::OUTCOME) == "done" {
-            assert_eq!(answer.body, format!("ran:{id}").as_bytes(), "another request's answer");
+            assert_eq!(
+                answer.body,
+                format!("ran:{id}").as_bytes(),
+                "the answer belongs to another request"
+            );
         }
     }
 }
@@ -195,11 +203,11 @@
 #[test]
 fn a_resent_key_runs_once_also_after_a_kill() {
     let (mut instance, _platform, upstreams) = cell(&[whole_answer]);
-    assert_eq!(call_once(&instance, "r1", "key").header(headers::OUTCOME), "done");
-    let again = call_once(&instance, "r2", "key");
+    assert_eq!(call_not_repeatable(&instance, "r1", "key").header(headers::OUTCOME), "done");
+    let again = call_not_repeatable(&instance, "r2", "key");
     assert_eq!(again.header(headers::OUTCOME), "may-have-run");
     instance.kill_and_restart();
-    let again = call_once(&instance, "r3", "key");
+    let again = call_not_repeatable(&instance, "r3", "key");
     assert_eq!(again.header(headers::OUTCOME), "may-have-run");
     assert_eq!(upstreams[0].runs(), 1);
 }
@@ -222,7 +230,7 @@
 fn an_upstream_listed_as_leaving_gets_nothing_new() {
     let (instance, platform, upstreams) = cell(&[whole_answer, whole_answer]);
     platform.change(|list| list.workers[0].state = WorkerState::Leaving);
-    wait_until("the list is taken in", || {
+    wait_until("the instance has applied the platform list", || {
         instance.operate(&["status", "--upstreams"]).1.contains("w0 leaving")
     });
     let before = upstreams[0].runs();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! One real `heathvaled` with small fakes of the platform and its upstreams around it.
+//! Test support: one real `heathvaled` process with fakes of the platform and of the upstreams.
 #![allow(dead_code)]
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,12 +15,13 @@
 pub use testkit::{Wire, write_wire};
 use upstream::{ListedWorker, PlatformList, SyncRequest, WorkerState, headers};
 
-/// How long anything may take before a test gives up.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// The maximum wait for any condition before a test fails.
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// What a fake upstream does with a request. It gives false to close the connection.
+/// How a fake upstream handles a request. Returns whether the connection stays open.
 pub type Behaviour = fn(&mut TcpStream, &Wire) -> bool;
 
+/// Answers a request completely: its id, the length of the body, and a body that names the request.
 pub fn whole_answer(stream: &mut TcpStream, req: &Wire) -> bool {
     let body = [b"ran:".as_slice(), &req.body].concat();
     let head = [
@@ -30,7 +31,7 @@
     write_wire(stream, "HTTP/1.1 200 OK", &head, &body).is_ok()
 }
 
-/// An upstream that holds leases as a worker stand-in does, and answers requests as it is told.
+/// A fake upstream that holds leases through a [`WorkerCore`] and answers requests with a given [`Behaviour`].
 pub struct FakeUpstream {
     pub addr: SocketAddr,
     pub runs: Arc<AtomicU32>,
@@ -72,7 +73,7 @@
     runs: &AtomicU32,
 ) {
     while let Some(req) = read_wire(&mut stream) {
-        let goes_on = if req.first_line.starts_with("POST /sync") {
+        let keep_open = if req.first_line.starts_with("POST /sync") {
             let call: SyncRequest = serde_json::from_slice(&req.body).unwrap();
             let reply = core.0.lock().unwrap().sync(core.1.now(), &call);
             let body = serde_json::to_vec(&reply).unwrap();
@@ -81,13 +82,13 @@
             runs.fetch_add(1, Ordering::SeqCst);
             behaviour(&mut stream, &req)
         };
-        if !goes_on {
+        if !keep_open {
             return;
         }
     }
 }
 
-/// Serves the platform's list; it can be changed while it is served.
+/// A fake platform that serves its list of workers. The list can be changed while it is served.
 pub struct FakePlatform {
     pub addr: SocketAddr,
     list: Arc<Mutex<PlatformList>>,
@@ -129,38 +130,38 @@
     }
 }
 
-/// Keeps other threads from spawning processes. A process that is being spawned holds every open socket
-/// of its parent until its program begins, so a port that was chosen meanwhile would stay in use.
-fn no_spawn_meanwhile() -> MutexGuard<'static, ()> {
+/// Locks the spawning of processes. A child process holds every open socket of its parent until it executes its program, so
+/// a port that another thread chooses in the meantime would stay in use.
+fn lock_spawning() -> MutexGuard<'static, ()> {
     static SPAWNING: Mutex<()> = Mutex::new(());
     SPAWNING.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-/// Starts a process, but not while another thread chooses addresses.
+/// Starts a process while no other thread chooses addresses.
 pub fn spawn_process(command: &mut Command) -> Child {
-    let _alone = no_spawn_meanwhile();
+    let _alone = lock_spawning();
     command.spawn().unwrap()
 }
 
-/// Runs a process to its end and gives what it wrote.
+/// Runs a process to its end and returns its output.
 pub fn run_process(command: &mut Command) -> Output {
     command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped());
     spawn_process(command).wait_with_output().unwrap()
 }
 
-/// Gives three addresses for one instance. They stand on a loopback address of its own, which no other
-/// test or process uses, so that nobody takes a port between its choice and its use.
-fn own_addresses() -> [SocketAddr; 3] {
+/// Returns three addresses for one instance, all on a loopback IP that no other test or process uses, so that nothing else
+/// takes a port between its choice and its use.
+fn unused_addresses() -> [SocketAddr; 3] {
     static INSTANCES: AtomicU32 = AtomicU32::new(2);
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     let number = INSTANCES.fetch_add(1, Ordering::SeqCst) as u8;
     let ip = [127, 16 + (high << 4 | middle) % 200, low, number];
-    let _alone = no_spawn_meanwhile();
+    let _alone = lock_spawning();
     let held = [(); 3].map(|()| TcpListener::bind(SocketAddr::from((ip, 0))).unwrap());
     held.map(|l| l.local_addr().unwrap())
 }
 
-/// A cell of one instance.
+/// A cell of one instance: a running `heathvaled` process, its addresses and its folder.
 pub struct Instance {
     pub child: Child,
     pub callers: SocketAddr,
@@ -177,10 +178,10 @@
         instance
     }
 
-    /// Starts an instance of a cell whose other instances are not there, and does not wait.
+    /// Starts an instance of a cell whose other instances are not running, without waiting until it is ready.
     pub fn start_with_peers(platform: &FakePlatform, others: &str) -> Instance {
         let folder = tempfile::tempdir().unwrap();
-        let [peers, callers, operators] = own_addresses();
+        let [peers, callers, operators] = unused_addresses();
         let args: Vec<String> = [
             ("--name", "a".to_string()),
             ("--peers", format!("a=za@{peers}/{callers}+disk{others}")),
@@ -198,24 +199,31 @@
     }
 
     pub fn wait_ready(&mut self) {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + MAX_WAIT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
-                panic!("the instance has ended: {status} {}", self.told());
+                panic!(
+                    "the instance exited before it was ready: {status} {}",
+                    self.stderr_output()
+                );
             }
             let health = self.get("/health").map(|w| w.status());
             if health == Some(200) {
                 return;
             }
             let in_time = Instant::now() < deadline;
-            assert!(in_time, "the instance is ready: never came, {health:?}\n{}", self.told());
+            assert!(
+                in_time,
+                "timed out: the instance is ready, {health:?}\n{}",
+                self.stderr_output()
+            );
             thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Gives what the process has said.
-    fn told(&self) -> String {
-        std::fs::read_to_string(self.folder.path().join("told")).unwrap_or_default()
+    /// Returns the standard error output of the process.
+    fn stderr_output(&self) -> String {
+        std::fs::read_to_string(self.folder.path().join("stderr")).unwrap_or_default()
     }
 
     pub fn kill_and_restart(&mut self) {
@@ -231,7 +239,7 @@
         read_wire(&mut stream)
     }
 
-    /// Sends a request as a caller does and gives the answer.
+    /// Sends a request as a caller and returns the answer.
     pub fn call(&self, id: &str, extra: &[(&str, &str)]) -> Wire {
         let mut stream = TcpStream::connect(self.callers).unwrap();
         let mut head = host();
@@ -241,7 +249,7 @@
         read_wire(&mut stream).expect("every request gets an answer")
     }
 
-    /// Runs the command line against this instance and gives its exit code and output.
+    /// Runs the command line client against this instance and returns its exit code and output.
     pub fn operate(&self, args: &[&str]) -> (i32, String) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_heathvale"));
         command.args(args).env("HEATHVALE_INSTANCES", self.operators.to_string());
@@ -262,13 +270,13 @@
 }
 
 fn spawn(args: &[String], folder: &TempDir) -> Child {
-    let told = std::fs::File::create(folder.path().join("told")).unwrap();
+    let stderr_output = std::fs::File::create(folder.path().join("stderr")).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_heathvaled"));
-    spawn_process(command.args(args).stderr(told))
+    spawn_process(command.args(args).stderr(stderr_output))
 }
 
-/// The lines that an instance logs in its life, from its start to its planned stop.
-pub fn logged(platform: &FakePlatform, format: &str) -> Vec<String> {
+/// Returns the lines that an instance logs from its start to its planned stop.
+pub fn run_and_read_log(platform: &FakePlatform, format: &str) -> Vec<String> {
     let mut instance = Instance::start(platform);
     instance.child.kill().unwrap();
     instance.child.wait().unwrap();
@@ -285,7 +293,7 @@
 
 impl Drop for Instance {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -294,12 +302,12 @@
 pub fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !done() {
-        assert!(begun.elapsed() < PATIENCE, "{what}: never came");
+        assert!(begun.elapsed() < MAX_WAIT, "timed out: {what}");
         thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// A cell of one instance that has taken in its upstreams.
+/// Starts a cell of one instance and waits until the instance knows all upstreams.
 pub fn cell(behaviours: &[Behaviour]) -> (Instance, FakePlatform, Vec<FakeUpstream>) {
     let upstreams: Vec<FakeUpstream> = behaviours.iter().map(|b| FakeUpstream::start(*b)).collect();
     let platform = FakePlatform::start(&upstreams.iter().collect::<Vec<_>>());
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -1,4 +1,5 @@
-//! The programs as processes: what they may not do, what they survive, how they refuse faulty input.
+//! Tests of the programs as processes: which system features they must not use, which failures they survive, and how they
+//! reject invalid input.
 
 mod common;
 
@@ -8,7 +9,8 @@
 use std::process::Command;
 
 use common::{
-    FakePlatform, FakeUpstream, Instance, cell, logged, run_process, wait_until, whole_answer,
+    FakePlatform, FakeUpstream, Instance, cell, run_and_read_log, run_process, wait_until,
+    whole_answer,
 };
 use upstream::headers;
 
@@ -23,7 +25,7 @@
     for forbidden in ["io_uring", "/dev/shm", "/SYSV", "memfd:"] {
         assert!(!maps.contains(forbidden), "{forbidden} is mapped");
     }
-    // Shared writable mappings would be shared memory under any name.
+    // Any shared writable mapping is shared memory, whatever its name.
     let shared = maps.lines().filter(|l| l.split(' ').nth(1).is_some_and(|p| p.contains("ws")));
     assert_eq!(shared.count(), 0);
     for fd in fs::read_dir(format!("{proc}/fd")).unwrap().flatten() {
@@ -32,29 +34,30 @@
     }
     for task in fs::read_dir(format!("{proc}/task")).unwrap().flatten() {
         let children = fs::read_to_string(task.path().join("children")).unwrap_or_default();
-        assert_eq!(children.trim(), "", "it has started a process");
+        assert_eq!(children.trim(), "", "it has started a child process");
     }
 }
 
-fn say(addr: SocketAddr, bytes: &[u8]) -> Vec<u8> {
+fn send_bytes(addr: SocketAddr, bytes: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(addr).unwrap();
     stream.set_read_timeout(Some(std::time::Duration::from_millis(300))).unwrap();
-    // The other side may close while we write.
+    // The instance may close the connection during the write.
     let _ = stream.write_all(bytes);
     let mut answer = Vec::new();
     let _ = stream.take(100_000).read_to_end(&mut answer);
     answer
 }
 
-/// Bytes that no part of the system sends, to each of the three doors; the process goes on.
-macro_rules! bad_bytes {
+/// Generates tests that send invalid bytes to each of the three listening addresses and check that the process still serves
+/// callers and operators.
+macro_rules! invalid_bytes_tests {
     ($($name:ident: $bytes:expr;)*) => {$(
         #[test]
         fn $name() {
             let (instance, _platform, _upstreams) = cell(&[whole_answer]);
             let bytes: Vec<u8> = $bytes;
             for addr in [instance.callers, instance.operators, instance.peers] {
-                say(addr, &bytes);
+                send_bytes(addr, &bytes);
             }
             assert_eq!(instance.call("after", &[]).header(headers::OUTCOME), "done");
             assert_eq!(instance.operate(&["list", "--fresh"]).0, 0);
@@ -62,7 +65,7 @@
     )*};
 }
 
-bad_bytes! {
+invalid_bytes_tests! {
     nothing_at_all: Vec::new();
     random_bytes: (0..4_000u32).map(|i| (i * 7_919 % 251) as u8).collect();
     a_half_sent_request: b"POST /run HTTP/1.1\r\ncontent-length: 100\r\n\r\nhalf".to_vec();
@@ -75,8 +78,8 @@
         [vec![0, b'S', b'P', 0, 0, 0x50, 0, 0], 5u64.to_be_bytes().to_vec(), vec![9; 5]].concat();
 }
 
-/// A faulty header or body of a caller's request, which gets a typed answer.
-macro_rules! malformed {
+/// Generates tests that send a request with an invalid header and check that it is refused as malformed and not run.
+macro_rules! malformed_request_tests {
     ($($name:ident: $id:expr, $extra:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -90,7 +93,7 @@
     )*};
 }
 
-malformed! {
+malformed_request_tests! {
     an_empty_id: "", &[];
     an_id_too_long: &"x".repeat(201), &[];
     an_unknown_class: "r", &[(headers::CLASS, "vip")];
@@ -108,7 +111,7 @@
         headers::REQUEST
     );
     let bytes = [head.into_bytes(), vec![b'x'; 6 << 20]].concat();
-    let answer = String::from_utf8_lossy(&say(instance.callers, &bytes)).to_string();
+    let answer = String::from_utf8_lossy(&send_bytes(instance.callers, &bytes)).to_string();
     assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
     assert!(answer.contains("x-heathvale-outcome: refused"), "{answer}");
     assert!(answer.contains("x-heathvale-reason: malformed"), "{answer}");
@@ -126,7 +129,7 @@
     );
     stream.write_all(head.as_bytes()).unwrap();
     stream.shutdown(std::net::Shutdown::Write).unwrap();
-    // The answer may be lost with the connection; what counts is that the request did not run.
+    // The answer may be lost with the connection; the test requires only that the request did not run.
     let mut answer = String::new();
     let _ = stream.read_to_string(&mut answer);
     assert!(answer.is_empty() || answer.contains("x-heathvale-reason: malformed"), "{answer}");
@@ -141,8 +144,8 @@
     let output = run_process(command.env("HEATHVALE_OPERATORS", "nowhere"));
     let text = String::from_utf8_lossy(&output.stderr).to_string();
     assert_eq!(output.status.code(), Some(2), "{text}");
-    for place in ["--peers", "--platform", "--log-level", "--seed", "$HEATHVALE_OPERATORS"] {
-        assert!(text.contains(place), "{place} is not told of in {text}");
+    for source in ["--peers", "--platform", "--log-level", "--seed", "$HEATHVALE_OPERATORS"] {
+        assert!(text.contains(source), "{source} is not reported in {text}");
     }
 }
 
@@ -173,8 +176,8 @@
     instance.kill_and_restart();
     let (_, text) = instance.operate(&["config"]);
     assert!(text.contains("queue_limit_ms = 321"), "{text}");
-    wait_until("the job is known", || instance.operate(&["list", "--fresh"]).1.contains("svc"));
-    // The resend gets the first answer; another operator's late change does not win.
+    wait_until("the job is listed", || instance.operate(&["list", "--fresh"]).1.contains("svc"));
+    // A resend under the same key gets the first answer; a change under another key with an outdated base is rejected.
     let (code, text) = instance.operate(&["apply", &config, "--base", "0", "--key", "k"]);
     assert_eq!(code, 0, "{text}");
     assert_ne!(instance.operate(&["apply", &config, "--base", "0", "--key", "other"]).0, 0);
@@ -184,10 +187,10 @@
 fn an_instance_that_has_not_caught_up_says_so_and_serves_nobody() {
     let upstream = FakeUpstream::start(whole_answer);
     let platform = FakePlatform::start(&[&upstream]);
-    // Another founder that is not there: the cell cannot be founded without it.
+    // The cell cannot be bootstrapped without its second founding member, which is not running.
     let others = ",b=zb@127.0.0.1:9/127.0.0.1:9+disk";
     let instance = Instance::start_with_peers(&platform, others);
-    wait_until("it listens", || instance.get("/health").is_some());
+    wait_until("the instance listens", || instance.get("/health").is_some());
     assert_eq!(instance.get("/health").unwrap().status(), 503);
     let answer = instance.call("r", &[]);
     assert_eq!(answer.header(headers::REASON), "not_ready", "{answer:?}");
@@ -204,7 +207,7 @@
         "jobs.toml",
         "[[job]]\nname = \"huge\"\nteam = \"t\"\nkind = \"service\"\ncpu_milli = 90000\nmemory_mb = 10\n",
     );
-    wait_until("the job gets its verdict", || {
+    wait_until("the job is refused with its reason", || {
         let (code, text) = instance.operate(&["create", &jobs]);
         code == 1 && text.contains("can never run")
     });
@@ -216,23 +219,27 @@
     let allocates = || instance.operate(&["status"]).1.contains(" allocates");
     assert!(allocates());
     assert_eq!(instance.operate(&["drain", "a"]).0, 0);
-    wait_until("it has given its zone back", || !allocates());
-    wait_until("the balancer is told", || instance.get("/health").unwrap().status() == 503);
+    wait_until("the instance has released its zone", || !allocates());
+    wait_until("the health check fails for the balancer", || {
+        instance.get("/health").unwrap().status() == 503
+    });
     assert_eq!(
         instance.call("r", &[]).header(headers::OUTCOME),
         "done",
-        "callers are still served"
+        "a drained instance still serves callers"
     );
     assert_eq!(instance.operate(&["drain", "a", "--back"]).0, 0);
-    wait_until("it allocates again", allocates);
-    wait_until("the balancer is told", || instance.get("/health").unwrap().status() == 200);
+    wait_until("the instance allocates again", allocates);
+    wait_until("the health check succeeds again", || {
+        instance.get("/health").unwrap().status() == 200
+    });
 }
 
 #[test]
 fn a_drained_upstream_gets_nothing_new() {
     let (instance, _platform, upstreams) = cell(&[whole_answer, whole_answer]);
     assert_eq!(instance.operate(&["drain", "w0"]).0, 0);
-    wait_until("it is taken out", || {
+    wait_until("the upstream is listed as leaving", || {
         instance.operate(&["status", "--upstreams"]).1.contains("w0 leaving")
     });
     let before = upstreams[0].runs();
@@ -246,7 +253,7 @@
 fn the_log_is_json_lines_with_the_events_of_the_catalogue() {
     let upstream = FakeUpstream::start(whole_answer);
     let platform = FakePlatform::start(&[&upstream]);
-    let lines = logged(&platform, "json");
+    let lines = run_and_read_log(&platform, "json");
     let mut names = Vec::new();
     for line in &lines {
         let value: serde_json::Value = serde_json::from_str(line).unwrap();
@@ -264,7 +271,7 @@
 fn the_log_is_text_with_the_events_numbers() {
     let upstream = FakeUpstream::start(whole_answer);
     let platform = FakePlatform::start(&[&upstream]);
-    let lines = logged(&platform, "text");
+    let lines = run_and_read_log(&platform, "text");
     assert!(lines.iter().any(|l| l.contains(" E101 instance_started: ")), "{lines:?}");
 }
 
--- a/tests/timeline.rs
+++ b/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! `heathvale timeline` on log files.
+//! Tests of `heathvale timeline` reading log files.
 
 use std::fs;
 use std::process::{Command, Output};
@@ -9,7 +9,7 @@
     command.output().expect("the program starts")
 }
 
-/// Writes the log files of an entry and a control instance and gives their names as a list.
+/// Writes the log files of an entry and a control instance and returns their paths, separated by commas.
 fn two_logs(folder: &std::path::Path) -> String {
     let entry = "1000 INFO E901 node_started edge-1 role=entry\n\
                  1500 WARN E942 call_unsure /q/00000000000000aa verb=submit waited_ms=9\n";
@@ -27,14 +27,14 @@
 
 #[test]
 fn the_story_of_one_job_is_told_from_log_files_alone() {
-    let folder = tempfile::tempdir().expect("a folder can be had");
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
     let logs = two_logs(folder.path());
     let output = timeline(&["--logs", &logs, "--job", "00000000000000aa"]);
     assert!(output.status.success());
     let text = String::from_utf8_lossy(&output.stdout);
     let numbers: Vec<&str> =
         text.split_whitespace().filter(|w| w.len() == 4 && w.starts_with('E')).collect();
-    // The accepted job, the call, its end, and the gap at last.
+    // The accepted job, the unsure call, the end of the job, and the gap in the log last.
     assert_eq!(numbers, ["E931", "E942", "E933", "E981"]);
     assert!(text.contains("gap: dropped"), "{text}");
 }
