--- a/tests/platform/cell.rs
+++ b/tests/platform/cell.rs
@@ -1,5 +1,5 @@
-//! A whole cell of real processes on loopback, told its settings as the users' platform does, with
-//! stand-ins for workers, callers and the operator.
+//! A whole cell of real processes on loopback, configured as the users' platform configures them, with simulated workers,
+//! callers and operators.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -11,20 +11,20 @@
 use tempfile::TempDir;
 use testkit::{PlatformWorker, PlatformWorkerConfig, Proxy, RunLog, call};
 
-/// How long anything may take before a test gives up.
-pub const PATIENCE: Duration = Duration::from_secs(60);
-/// How long a caller waits for an answer.
+/// The maximum wait for any condition before a test fails.
+pub const MAX_WAIT: Duration = Duration::from_secs(60);
+/// The time limit of a caller for one answer.
 const CALL_LIMIT: Duration = Duration::from_secs(4);
 const CONTROL_PORT: u16 = 8166;
 const FRONT_PORT: u16 = 8161;
 const READY_PORT: u16 = 8167;
 const METRICS_PORT: u16 = 9108;
-/// Where instances are told to reach each other.
+/// The port at which instances reach each other.
 const LINKS_PORT: u16 = 7720;
-/// Where they listen for each other behind a proxy.
-const BEHIND_PORT: u16 = 7736;
+/// The port at which an instance listens for the others if their links pass through a proxy.
+const PROXIED_LINKS_PORT: u16 = 7736;
 
-/// Addresses on loopback of this process's own, so that ports need not be chosen.
+/// Returns a loopback address that nothing else uses, so that the ports can be fixed.
 fn next_ip() -> Ipv4Addr {
     static NEXT: AtomicU16 = AtomicU16::new(1);
     let n = NEXT.fetch_add(1, Ordering::SeqCst);
@@ -32,23 +32,23 @@
     Ipv4Addr::new(127, 64 + (pid >> 8 & 63) as u8, pid as u8, n as u8)
 }
 
-/// One process and its settings.
+/// One instance: its process, folder and settings.
 pub struct Node {
     pub ip: Ipv4Addr,
     pub control: bool,
     child: Option<Child>,
     folder: TempDir,
     settings: Value,
-    /// How many files the process may have open; the limit of this process if none is named.
-    pub most_files: Option<u32>,
-    /// What the links of others to this process pass through, if a test asks for it.
+    /// The maximum number of open files of the process. Without one, the limit of the test process applies.
+    pub max_open_files: Option<u32>,
+    /// The proxy through which the links of other instances to this one pass, if any.
     links_proxy: Option<Proxy>,
 }
 
 impl Node {
     fn new(control: bool) -> Node {
         let ip = next_ip();
-        let folder = tempfile::tempdir().expect("a folder");
+        let folder = tempfile::tempdir().expect("a temporary folder");
         let data = folder.path().join("data");
         let listen = match control {
             true => json!({"control": format!("{ip}:{CONTROL_PORT}")}),
@@ -65,36 +65,36 @@
             "fault_tolerance": {"machines": 1, "zones": 1},
             "a_field_from_the_future": true,
         });
-        Node { ip, control, child: None, folder, settings, most_files: None, links_proxy: None }
+        Node { ip, control, child: None, folder, settings, max_open_files: None, links_proxy: None }
     }
 
-    /// Has the links of others to this process pass through a proxy.
+    /// Makes the links of other instances to this one pass through a proxy.
     pub fn put_links_behind_proxy(&mut self) {
-        let behind = self.addr(BEHIND_PORT);
-        self.settings["listen"]["links"] = json!(behind.to_string());
-        let proxy = Proxy::start_at(self.addr(LINKS_PORT), behind).expect("an address of its own");
+        let proxied = self.addr(PROXIED_LINKS_PORT);
+        self.settings["listen"]["links"] = json!(proxied.to_string());
+        let proxy = Proxy::start_at(self.addr(LINKS_PORT), proxied).expect("the address is free");
         self.links_proxy = Some(proxy);
     }
 
-    /// Lets the connections of others to this process go silent for good; new ones pass.
-    pub fn hush_links(&self) {
+    /// Silences the open links of other instances to this one for good. New links work.
+    pub fn silence_links(&self) {
         let proxy = self.links_proxy.as_ref().expect("the links pass through a proxy");
-        assert!(proxy.hush_open() > 0, "somebody has a link to {}", self.ip);
+        assert!(proxy.hush_open() > 0, "no instance has a link to {}", self.ip);
     }
 
     pub fn start(&mut self) {
         let file = self.folder.path().join("settings.json");
-        std::fs::write(&file, self.settings.to_string()).expect("written settings");
-        // Through a pipe, so that a limit on the files of the process leaves its log alone.
-        let (mut told, log) = std::io::pipe().expect("a pipe");
-        let kept = std::fs::OpenOptions::new().create(true).append(true).open(self.log());
-        let mut kept = kept.expect("a log");
-        // It ends with the process.
-        std::thread::spawn(move || std::io::copy(&mut told, &mut kept));
-        let daemon = env!("CARGO_BIN_EXE_heathvaled");
-        let files = self.most_files.map_or(String::new(), |most| format!("ulimit -n {most};"));
-        // A file that may not grow then fails the write, as a full disk does, and ends no process.
-        let script = format!("trap '' XFSZ; {files} exec {daemon}");
+        std::fs::write(&file, self.settings.to_string()).expect("the settings are written");
+        // The log goes through a pipe, so that a limit on the size of the files of the process does not apply to it.
+        let (mut output, log) = std::io::pipe().expect("a pipe");
+        let log_file = std::fs::OpenOptions::new().create(true).append(true).open(self.log());
+        let mut log_file = log_file.expect("a log");
+        // The thread ends with the process.
+        std::thread::spawn(move || std::io::copy(&mut output, &mut log_file));
+        let program = env!("CARGO_BIN_EXE_heathvaled");
+        let files = self.max_open_files.map_or(String::new(), |max| format!("ulimit -n {max};"));
+        // With the signal ignored, a write beyond the file size limit fails as on a full disk and does not end the process.
+        let script = format!("trap '' XFSZ; {files} exec {program}");
         let child = Command::new("sh")
             .args(["-c", &script])
             .env("HEATHVALE_NODE_FILE", file)
@@ -104,19 +104,21 @@
         self.child = Some(child.expect("a process"));
     }
 
-    /// Writes other settings while the process runs.
+    /// Replaces the settings file while the process runs.
     pub fn rewrite(&self, text: &str) {
-        std::fs::write(self.folder.path().join("settings.json"), text).expect("written settings");
+        std::fs::write(self.folder.path().join("settings.json"), text)
+            .expect("the settings are written");
     }
 
-    /// Gives the settings with other seeds.
+    /// Returns the settings with other seeds.
     pub fn with_seeds(&self, seeds: &[&str]) -> String {
         let mut settings = self.settings.clone();
         settings["seeds"] = json!(seeds);
         settings.to_string()
     }
 
-    pub fn told(&self, part: &str) -> bool {
+    /// Returns whether the log contains a text.
+    pub fn logged(&self, part: &str) -> bool {
         std::fs::read_to_string(self.log()).unwrap_or_default().contains(part)
     }
 
@@ -124,33 +126,33 @@
         self.folder.path().join("log")
     }
 
-    /// Starts the process again if it has ended by itself, as the platform does; tells what it said.
+    /// Restarts the process if it has ended by itself, as the platform does, and returns how it ended with its last log lines.
     fn revive(&mut self) -> Option<String> {
         let ended = self.child.as_mut()?.try_wait().ok()??;
-        let told = format!("{} ended with {ended}\n{}", self.ip, self.tail());
+        let report = format!("{} ended with {ended}\n{}", self.ip, self.tail());
         self.start();
-        Some(told)
+        Some(report)
     }
 
-    /// Gives the last lines of the log, or those around a panic.
+    /// Returns the last lines of the log, or those around a panic.
     fn tail(&self) -> String {
         let text = std::fs::read_to_string(self.log()).unwrap_or_default();
         let all: Vec<&str> = text.lines().collect();
-        // What a process said as it ended says more than its last lines.
+        // The lines around a panic say more than the last lines.
         let panics = |l: &&str| l.to_lowercase().contains("panic");
         let from = all.iter().position(panics).unwrap_or(all.len());
         all[from.saturating_sub(12)..(from + 40).min(all.len())].join("\n")
     }
 
-    /// Sends a signal by its name; does nothing if the process has ended.
+    /// Sends a signal by its name. Does nothing if the process has ended.
     pub fn signal(&self, name: &str) {
         if let Some(child) = &self.child {
-            // It may have ended by itself.
+            // The process may have ended by itself.
             let _ = Command::new("kill").args(["-s", name, &child.id().to_string()]).status();
         }
     }
 
-    /// Lets no file of the process grow beyond so many bytes, or beyond any, as if its disk were full.
+    /// Limits the size of the files of the process to a number of bytes, as if its disk were full, or to "unlimited".
     pub fn limit_files(&self, bytes: &str) {
         if let Some(child) = &self.child {
             let pid = format!("--pid={}", child.id());
@@ -162,21 +164,21 @@
 
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended already.
+            // The process may have ended already.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Waits until the process has ended by itself; gives its exit code.
+    /// Waits until the process has ended by itself and returns its exit code.
     pub fn wait_end(&mut self) -> Option<i32> {
         let mut child = self.child.take()?;
         child.wait().ok()?.code()
     }
 
-    /// Loses the disk. The platform then no longer says that the cell is new.
+    /// Deletes the stored data. The platform then no longer asks the instance to bootstrap the cell.
     pub fn wipe(&mut self) {
-        // There may be none yet.
+        // There may be no data yet.
         let _ = std::fs::remove_dir_all(self.folder.path().join("data"));
         self.settings["bootstrap"] = json!(false);
     }
@@ -192,30 +194,29 @@
     }
 }
 
-/// The processes and stand-ins of one cell.
+/// The processes and simulated workers of one cell.
 pub struct Cell {
     pub nodes: Vec<Node>,
     pub workers: Vec<PlatformWorker>,
     pub runs: RunLog,
-    /// What processes said that have ended by themselves. They are started again.
-    pub own_ends: Vec<String>,
+    /// The last log lines of each process that ended by itself. Such processes are restarted.
+    pub unexpected_exits: Vec<String>,
     version: u64,
     began: Instant,
 }
 
 impl Cell {
-    /// Starts three control and two entry instances and some workers, and puts a first
-    /// configuration in force.
+    /// Starts three control and two entry instances and a number of workers, and publishes the first configuration.
     pub fn start(workers: usize) -> Cell {
         Cell::start_with(workers, |_| {})
     }
 
-    /// The same with workers that start again under the id that they had.
-    pub fn start_with_lives(workers: usize) -> Cell {
+    /// Starts a cell like [`Cell::start`], with workers that keep their id when they restart.
+    pub fn start_with_fixed_ids(workers: usize) -> Cell {
         Cell::start_each(workers, true, |_| {})
     }
 
-    /// The same with each process prepared before it starts, as with a limit on its open files.
+    /// Starts a cell like [`Cell::start`] and prepares each instance before it starts, such as with a limit on its open files.
     pub fn start_with(workers: usize, prepare: impl Fn(&mut Node)) -> Cell {
         Cell::start_each(workers, false, prepare)
     }
@@ -242,33 +243,40 @@
             PlatformWorker::start(cfg, controls.clone(), runs.clone()).expect("a worker")
         };
         let workers = (0..workers).map(worker).collect();
-        let mut cell =
-            Cell { nodes, workers, runs, own_ends: Vec::new(), version: 0, began: Instant::now() };
-        cell.wait("the first configuration is taken", |c| c.publish());
+        let mut cell = Cell {
+            nodes,
+            workers,
+            runs,
+            unexpected_exits: Vec::new(),
+            version: 0,
+            began: Instant::now(),
+        };
+        cell.wait("the first configuration is accepted", |c| c.publish());
         cell
     }
 
+    /// Waits until a condition holds and restarts processes that end by themselves meanwhile. Fails after [`MAX_WAIT`].
     pub fn wait(&mut self, what: &str, mut done: impl FnMut(&mut Cell) -> bool) {
         let started = Instant::now();
         while !done(self) {
             self.revive();
-            assert!(started.elapsed() < PATIENCE, "not in time: {what}\n{}", self.tails());
+            assert!(started.elapsed() < MAX_WAIT, "timed out: {what}\n{}", self.tails());
             std::thread::sleep(Duration::from_millis(50));
         }
     }
 
-    /// Starts every process again that has ended by itself.
+    /// Restarts every process that has ended by itself and records it in `unexpected_exits`.
     pub fn revive(&mut self) {
-        self.own_ends.extend(self.nodes.iter_mut().filter_map(Node::revive));
+        self.unexpected_exits.extend(self.nodes.iter_mut().filter_map(Node::revive));
     }
 
-    /// The last lines of every log, for the message of a test that fails.
+    /// Returns the last lines of every log, for the message of a failing test.
     pub fn tails(&self) -> String {
         let tail = |n: &Node| format!("== {}\n{}\n", n.ip, n.tail());
         self.nodes.iter().map(tail).collect()
     }
 
-    /// The lines of all logs that name something, for the message of a test that fails.
+    /// Returns the lines of all logs that contain a text.
     pub fn lines_about(&self, what: &str) -> String {
         let text = |n: &Node| std::fs::read_to_string(n.log()).unwrap_or_default();
         let logs = self.nodes.iter().map(text).collect::<Vec<_>>();
@@ -276,8 +284,8 @@
         lines.collect::<Vec<_>>().join("\n")
     }
 
-    /// A configuration in which every call needs a key. One organisation's limit and the other's key change with each
-    /// version.
+    /// Returns a configuration in which every call needs a key. With each version the limit of one organisation and a key of
+    /// the other one change.
     fn config(version: u64) -> Value {
         let memory = 2_000 + 1_000 * (version % 3);
         json!({
@@ -294,7 +302,7 @@
         })
     }
 
-    /// Sends the next configuration to the control instances in turn; tells whether it was taken.
+    /// Sends the next configuration to the control instances in turn and returns whether one accepted it.
     pub fn publish(&mut self) -> bool {
         let body = Cell::config(self.version + 1).to_string();
         let taken = self.control_call("POST /Config.Replace", &body).is_some_and(|(s, _)| s == 200);
@@ -304,14 +312,14 @@
         taken
     }
 
-    /// Tells whether some control instance reads back the newest configuration that was taken, or the
-    /// one after it, whose sending got no clear answer and may be in force.
+    /// Returns whether a control instance reads back the newest accepted configuration or the one after it. The latter may be
+    /// active if its publication got no clear answer.
     pub fn reads_newest(&self) -> bool {
         let read = self.control_call("GET /Config.Read", "");
         let Some((200, text)) = read else { return false };
         let read: Value = serde_json::from_str(&text).unwrap_or_default();
         let version = read["version"].as_u64().unwrap_or(0);
-        assert!(version >= self.version, "read back {version}, taken {}", self.version);
+        assert!(version >= self.version, "read back version {version}, accepted {}", self.version);
         version <= self.version + 1
     }
 
@@ -328,7 +336,7 @@
         None
     }
 
-    /// Announces a worker that nobody else knows to one control instance; gives the status of the answer.
+    /// Announces a worker that does not exist to one control instance and returns the status of the answer.
     pub fn announce(&self, node: usize, state: &str) -> Option<u32> {
         let seq = Instant::now().duration_since(self.began).as_millis() as u64 + 1;
         let body = json!({
@@ -343,7 +351,7 @@
         answer.map(|a| a.status())
     }
 
-    /// Announces a worker with a body of any kind to one control instance; gives the status of the answer.
+    /// Announces a worker with any body to one control instance and returns the status of the answer.
     pub fn announce_body(&self, node: usize, id: &str, body: &[u8]) -> Option<u32> {
         let line = format!("POST /Instances.Heartbeat/{id} HTTP/1.1");
         let head = [("host", "c".to_string()), ("content-type", "application/json".to_string())];
@@ -352,7 +360,7 @@
         answer.map(|a| a.status())
     }
 
-    /// Gives the figures that an instance tells.
+    /// Returns the metrics of an instance.
     pub fn metrics(&self, node: usize) -> String {
         let head = [("host", "c".to_string())];
         let addr = self.nodes[node].addr(METRICS_PORT);
@@ -360,40 +368,42 @@
         answer.map(|a| String::from_utf8_lossy(&a.body).to_string()).unwrap_or_default()
     }
 
-    /// Gives where callers reach the entry instances.
+    /// Returns the addresses at which callers reach the entry instances.
     pub fn fronts(&self) -> Vec<SocketAddr> {
         self.nodes.iter().filter(|n| !n.control).map(|n| n.addr(FRONT_PORT)).collect()
     }
 
-    /// Gives the status that some instance tells of a job.
+    /// Returns the state of a job as an entry instance reports it.
     pub fn state(&self, id: &str) -> Option<String> {
         let answer = self.fronts().into_iter().find_map(|f| job_call(f, "GET", id, ""))?;
         let body: Value = serde_json::from_slice(&answer.1).ok()?;
         Some(body["state"].as_str()?.to_string())
     }
 
-    /// Gives the control instance that says it leads, by its log.
+    /// Returns the control instance that began the latest term as leader, according to the logs.
     pub fn leader(&self) -> Option<usize> {
-        let begun = |n: &Node| {
+        let latest_term = |n: &Node| {
             let text = std::fs::read_to_string(n.log()).unwrap_or_default();
             let line = text.lines().rfind(|l| l.contains("term_begun"))?;
             line.split("term=").nth(1)?.split(' ').next()?.parse::<u64>().ok()
         };
-        (0..3).max_by_key(|i| begun(&self.nodes[*i])).filter(|i| begun(&self.nodes[*i]).is_some())
+        (0..3)
+            .max_by_key(|i| latest_term(&self.nodes[*i]))
+            .filter(|i| latest_term(&self.nodes[*i]).is_some())
     }
 }
 
-/// The key of the organisation that hands jobs in.
+/// The key of the organisation that submits jobs.
 const OWN_KEY: &str = "key-a";
-/// A key of another one.
+/// A key of another organisation.
 pub const OTHER_KEY: &str = "key-b";
 
-/// Makes a call on a job on behalf of the organisation that hands jobs in; gives the status and the body.
+/// Makes a call on a job with the key of the organisation that submits jobs and returns the status and the body.
 pub fn job_call(front: SocketAddr, method: &str, id: &str, body: &str) -> Option<(u32, Vec<u8>)> {
     job_call_with(&format!("Token {OWN_KEY}"), front, (method, id, body))
 }
 
-/// The same that shows something else.
+/// Makes a call like [`job_call`] with the given `Authorization` header.
 pub fn job_call_with(
     authorization: &str,
     front: SocketAddr,
@@ -410,18 +420,18 @@
     Some((answer.status(), answer.body))
 }
 
-/// The body of a job of `tasks` tasks and a second step of one.
+/// Returns the body of a job with a step of `tasks` tasks and a second step of one task.
 pub fn job_body(tasks: u32) -> String {
     body_with(tasks, &json!({"cpu": 1_000}))
 }
 
-/// The same with a task that ends each worker that runs it.
+/// Returns the body of a job like [`job_body`], with a task that crashes each worker that runs it.
 pub fn faulty_job_body(tasks: u32) -> String {
     let crash = json!({"task": ".0.0.0", "after_ms": 20});
     body_with(tasks, &json!({"cpu": 1_000, "crash": crash}))
 }
 
-/// The body of a job of one task that lasts and is larger than any worker.
+/// Returns the body of a job of one long-running task that is larger than any worker.
 pub fn large_job_body() -> String {
     let spec = json!({"cpu": 1_000}).to_string();
     let step = json!({"count": 1, "cpu": 1_000_000, "mem_mb": 100, "est_runtime_ms": 200, "long_running": true});
--- a/tests/platform/crashes.rs
+++ b/tests/platform/crashes.rs
@@ -1,17 +1,17 @@
-//! A task that ends its workers, and announcements of other writers, as real processes meet them.
+//! Tests with real processes of a task that crashes its workers, and of invalid announcements.
 
 use crate::cell::{Cell, faulty_job_body, job_body};
 use crate::submit;
 
-/// The job is shown as failed, others among the same workers are done, and the log tells why.
+/// The faulty job fails, another job on the same workers completes, and the log names the reason.
 #[test]
 fn a_job_that_crashes_its_workers_is_shown_as_failed_and_the_log_tells_why() {
     let mut cell = Cell::start(4);
-    let (faulty, well) = ("00000000000000d1", "00000000000000d2");
-    cell.wait("the first job is taken", |c| submit(c, faulty, &faulty_job_body(3)) == 200);
-    cell.wait("it is given up", |c| c.state(faulty).as_deref() == Some("failed"));
-    cell.wait("the second job is taken", |c| submit(c, well, &job_body(3)) == 200);
-    cell.wait("the second job is done", |c| c.state(well).as_deref() == Some("completed"));
+    let (faulty, healthy) = ("00000000000000d1", "00000000000000d2");
+    cell.wait("the first job is accepted", |c| submit(c, faulty, &faulty_job_body(3)) == 200);
+    cell.wait("the faulty job fails", |c| c.state(faulty).as_deref() == Some("failed"));
+    cell.wait("the second job is accepted", |c| submit(c, healthy, &job_body(3)) == 200);
+    cell.wait("the second job is done", |c| c.state(healthy).as_deref() == Some("completed"));
     assert_eq!(cell.runs.violations(), Vec::<String>::new());
     let task = format!("{faulty}.0.0.0");
     let starts = cell.runs.runs().iter().filter(|r| r.task == task).count();
@@ -21,7 +21,7 @@
     assert!(lines.contains(r#"why="its workers crashed""#), "{lines}");
 }
 
-/// Whatever stands in them, they end no process, and the workers that are known go on.
+/// Whatever they contain, invalid announcements end no process, and the known workers continue to run jobs.
 #[test]
 fn announcements_that_name_no_worker_change_nothing() {
     let mut cell = Cell::start(2);
@@ -43,13 +43,15 @@
     ];
     for node in 0..3 {
         for (id, body) in faulty {
-            cell.wait("it is refused", |c| c.announce_body(node, id, body) == Some(400));
+            cell.wait("the announcement is refused", |c| {
+                c.announce_body(node, id, body) == Some(400)
+            });
         }
     }
     let id = "00000000000000e1";
-    cell.wait("a job is taken", |c| submit(c, id, &job_body(4)) == 200);
-    cell.wait("it is done", |c| c.state(id).as_deref() == Some("completed"));
+    cell.wait("a job is accepted", |c| submit(c, id, &job_body(4)) == 200);
+    cell.wait("the job is done", |c| c.state(id).as_deref() == Some("completed"));
     cell.revive();
-    assert!(cell.own_ends.is_empty(), "{:?}", cell.own_ends);
-    assert!(cell.nodes[0].told("announcement_faulty"));
+    assert!(cell.unexpected_exits.is_empty(), "{:?}", cell.unexpected_exits);
+    assert!(cell.nodes[0].logged("announcement_faulty"));
 }
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -1,4 +1,5 @@
-//! The adapter and the product as real processes on the users' platform, over small stand-ins.
+//! Tests of the adapter and the scheduler as real processes, started as the users' platform starts them, with simulated
+//! workers and callers.
 
 mod cell;
 mod crashes;
@@ -19,13 +20,13 @@
 fn a_job_is_served_from_its_submission_to_its_end_and_again_after_the_leader_is_killed() {
     let mut cell = Cell::start(3);
     let (first, second) = ("00000000000000a1", "00000000000000a2");
-    cell.wait("the first job is taken", |c| submit(c, first, &job_body(4)) == 200);
+    cell.wait("the first job is accepted", |c| submit(c, first, &job_body(4)) == 200);
     cell.wait("the first job is done", |c| c.state(first).as_deref() == Some("completed"));
-    let leader = cell.leader().expect("somebody leads");
+    let leader = cell.leader().expect("a leader");
     cell.nodes[leader].kill();
-    cell.wait("the second job is taken", |c| submit(c, second, &job_body(4)) == 200);
+    cell.wait("the second job is accepted", |c| submit(c, second, &job_body(4)) == 200);
     cell.wait("the second job is done", |c| c.state(second).as_deref() == Some("completed"));
-    assert_eq!(cell.state(first).as_deref(), Some("completed"), "nothing accepted is forgotten");
+    assert_eq!(cell.state(first).as_deref(), Some("completed"), "an accepted job is not lost");
     cell.nodes[leader].start();
     cell.wait("the configuration reads back", |c| c.reads_newest());
     assert_eq!(cell.runs.violations(), Vec::<String>::new());
@@ -37,7 +38,7 @@
 fn callers_get_the_codes_that_the_pages_name() {
     let mut cell = Cell::start(1);
     let id = "00000000000000b1";
-    cell.wait("a job is taken", |c| submit(c, id, &job_body(1)) == 200);
+    cell.wait("a job is accepted", |c| submit(c, id, &job_body(1)) == 200);
     let front = cell.fronts()[1];
     let status =
         |method: &str, id: &str, body: &str| job_call(front, method, id, body).map(|a| a.0);
@@ -57,24 +58,24 @@
 fn a_job_is_its_organisations_alone_and_nobodys_without_a_key() {
     let mut cell = Cell::start(1);
     let (id, refused) = ("00000000000000b4", "00000000000000b5");
-    cell.wait("a job is taken", |c| submit(c, id, &job_body(1)) == 200);
+    cell.wait("a job is accepted", |c| submit(c, id, &job_body(1)) == 200);
     let front = cell.fronts()[0];
-    let status = |shown: &str, method: &str, id: &str| {
-        job_call_with(shown, front, (method, id, &job_body(1))).map(|a| a.0)
+    let status = |authorization: &str, method: &str, id: &str| {
+        job_call_with(authorization, front, (method, id, &job_body(1))).map(|a| a.0)
     };
-    for shown in ["Token key-z", "Token", "key-a", ""] {
-        assert_eq!(status(shown, "POST", refused), Some(401), "{shown:?}");
-        assert_eq!(status(shown, "GET", id), Some(401), "{shown:?}");
-        assert_eq!(status(shown, "DELETE", id), Some(401), "{shown:?}");
+    for authorization in ["Token key-z", "Token", "key-a", ""] {
+        assert_eq!(status(authorization, "POST", refused), Some(401), "{authorization:?}");
+        assert_eq!(status(authorization, "GET", id), Some(401), "{authorization:?}");
+        assert_eq!(status(authorization, "DELETE", id), Some(401), "{authorization:?}");
     }
     let other = format!("Token {OTHER_KEY}");
     assert_eq!(status(&other, "GET", id), Some(410));
     assert_eq!(status(&other, "DELETE", id), Some(410));
     assert_eq!(status(&other, "POST", id), Some(400));
     assert_eq!(job_call(front, "GET", refused, "").map(|a| a.0), Some(410), "nothing was stored");
-    // The key of the first version goes with the next one.
+    // Each version of the configuration replaces the other organisation's key.
     assert_eq!(status("Token key-b-1", "GET", refused), Some(410));
-    cell.wait("another configuration is taken", |c| c.publish());
+    cell.wait("another configuration is accepted", |c| c.publish());
     assert_eq!(status("Token key-b-1", "GET", refused), Some(401));
     assert!(!cell.lines_about("key_refused").contains("key-z"));
     cell.wait("the job is done", |c| c.state(id).as_deref() == Some("completed"));
@@ -85,7 +86,7 @@
     let mut cell = Cell::start(2);
     for i in 0..cell.nodes.len() {
         let id = format!("00000000000000c{i}");
-        cell.wait("a job is taken", |c| {
+        cell.wait("a job is accepted", |c| {
             c.fronts()
                 .into_iter()
                 .any(|f| job_call(f, "POST", &id, &job_body(2)).is_some_and(|a| a.0 == 200))
@@ -102,37 +103,37 @@
 fn the_log_of_one_job_tells_its_whole_story() {
     let mut cell = Cell::start(1);
     let id = "00000000000000d1";
-    cell.wait("the job is taken", |c| submit(c, id, &job_body(1)) == 200);
+    cell.wait("the job is accepted", |c| submit(c, id, &job_body(1)) == 200);
     cell.wait("the job is done", |c| c.state(id).as_deref() == Some("completed"));
-    let leader = cell.leader().expect("somebody leads");
+    let leader = cell.leader().expect("a leader");
     let path = cell.nodes[leader].log();
     cell.wait("the log is written", |_| {
         let text = std::fs::read_to_string(&path).unwrap_or_default();
         text.matches(&format!("run_ended {id}")).count() == 2
     });
     let text = std::fs::read_to_string(&path).unwrap_or_default();
-    let story: Vec<&str> = text
+    let event_names: Vec<&str> = text
         .lines()
         .filter(|l| l.contains(id))
         .map(|l| l.split(' ').nth(3).unwrap_or_default())
         .collect();
     let wanted = ["job_accepted", "run_placed", "run_ended", "run_placed", "run_ended", "job_over"];
-    assert_eq!(story, wanted);
+    assert_eq!(event_names, wanted);
 }
 
-/// Forty workers with four connections each would be more than twice what the processes may open.
+/// Forty workers with four connections each would need more than twice what the processes may open.
 #[test]
 fn more_workers_than_descriptors_are_served_and_no_process_ends() {
-    let mut cell = Cell::start_with(40, |n| n.most_files = Some(128));
+    let mut cell = Cell::start_with(40, |n| n.max_open_files = Some(128));
     let ids: Vec<String> = (0..4).map(|n| format!("00000000000001a{n}")).collect();
     for id in &ids {
-        cell.wait("the job is taken", |c| submit(c, id, &job_body(30)) == 200);
+        cell.wait("the job is accepted", |c| submit(c, id, &job_body(30)) == 200);
     }
     for id in &ids {
         cell.wait("the job is done", |c| c.state(id).as_deref() == Some("completed"));
     }
     cell.revive();
-    assert_eq!(cell.own_ends, Vec::<String>::new());
+    assert_eq!(cell.unexpected_exits, Vec::<String>::new());
     assert_eq!(cell.runs.violations(), Vec::<String>::new());
 }
 
@@ -140,42 +141,48 @@
 fn a_full_disk_ends_no_process_and_its_instance_votes_again_once_there_is_room() {
     let mut cell = Cell::start(2);
     let (first, second) = ("00000000000002a1", "00000000000002a2");
-    cell.wait("somebody says that it leads", |c| c.leader().is_some());
-    let full = cell.leader().expect("somebody leads");
+    cell.wait("an instance leads", |c| c.leader().is_some());
+    let full = cell.leader().expect("a leader");
     cell.nodes[full].limit_files("1");
-    cell.wait("the job is taken by another leader", |c| {
+    cell.wait("the job is accepted and completed under another leader", |c| {
         submit(c, first, &job_body(2));
         c.leader() != Some(full) && c.state(first).as_deref() == Some("completed")
     });
-    cell.wait("the fault is told", |c| c.nodes[full].told("disk_unusable"));
+    cell.wait("the disk failure is logged", |c| c.nodes[full].logged("disk_unusable"));
     cell.nodes[full].limit_files("unlimited");
-    cell.wait("the disk is used again", |c| c.nodes[full].told("disk_usable"));
-    // With one of the three gone, nothing is taken unless the one with the full disk votes.
-    let gone = (0..3).find(|i| *i != full).expect("another");
-    cell.nodes[gone].kill();
+    cell.wait("the disk is used again", |c| c.nodes[full].logged("disk_usable"));
+    // Once one of the three is killed, nothing is committed unless the instance whose disk was full votes.
+    let killed = (0..3).find(|i| *i != full).expect("another control instance");
+    cell.nodes[killed].kill();
     cell.wait("the second job is done", |c| {
         submit(c, second, &job_body(2));
         c.state(second).as_deref() == Some("completed")
     });
-    let told = std::fs::read_to_string(cell.nodes[full].log()).unwrap_or_default();
-    assert_eq!(told.matches("disk_unusable").count(), 1, "once, however long it lasts");
-    assert_eq!(cell.own_ends, Vec::<String>::new());
+    let log_text = std::fs::read_to_string(cell.nodes[full].log()).unwrap_or_default();
+    assert_eq!(
+        log_text.matches("disk_unusable").count(),
+        1,
+        "logged once, however long the failure lasts"
+    );
+    assert_eq!(cell.unexpected_exits, Vec::<String>::new());
     assert_eq!(cell.runs.violations(), Vec::<String>::new());
 }
 
 #[test]
 fn that_a_worker_is_leaving_is_acknowledged_only_once_a_leader_knows() {
     let mut cell = Cell::start(1);
-    cell.wait("somebody says that it leads", |c| c.leader().is_some());
+    cell.wait("an instance leads", |c| c.leader().is_some());
     assert_eq!(cell.announce(0, "ready"), Some(200));
     assert_eq!(cell.announce(0, "draining"), Some(200));
     cell.nodes[1].kill();
     cell.nodes[2].kill();
-    // Alone the instance cannot lead, and nobody has taken the announcement in.
-    cell.wait("the last leader is forgotten", |c| c.announce(0, "draining") == Some(503));
-    assert_eq!(cell.announce(0, "ready"), Some(200), "other announcements wait for nobody");
+    // A single instance cannot lead, so no leader has processed the announcement.
+    cell.wait("the instance knows no leader", |c| c.announce(0, "draining") == Some(503));
+    assert_eq!(cell.announce(0, "ready"), Some(200), "other announcements need no leader");
     cell.nodes[1].start();
-    cell.wait("a new leader knows", |c| c.announce(0, "draining") == Some(200));
+    cell.wait("a new leader acknowledges the announcement", |c| {
+        c.announce(0, "draining") == Some(200)
+    });
 }
 
 #[test]
@@ -183,10 +190,10 @@
     for n in 0..2 {
         let mut cell = Cell::start(2);
         let id = format!("00000000000000f{n}");
-        cell.wait("the job is taken", |c| submit(c, &id, &job_body(2)) == 200);
+        cell.wait("the job is accepted", |c| submit(c, &id, &job_body(2)) == 200);
         cell.wait("the job is done", |c| c.state(&id).as_deref() == Some("completed"));
         cell.revive();
-        assert_eq!(cell.own_ends, Vec::<String>::new());
+        assert_eq!(cell.unexpected_exits, Vec::<String>::new());
     }
 }
 
@@ -195,30 +202,30 @@
     let mut cell = Cell::start(1);
     for i in [0, 3] {
         cell.nodes[i].rewrite("{");
-        cell.wait("the fault is told", |c| c.nodes[i].told("settings_refused"));
+        cell.wait("the faulty settings are logged", |c| c.nodes[i].logged("settings_refused"));
         let text = cell.nodes[i].with_seeds(&["127.0.0.9:1"]);
         cell.nodes[i].rewrite(&text);
-        cell.wait("the seeds are taken in", |c| c.nodes[i].told("seeds=127.0.0.9:7720"));
+        cell.wait("the seeds are applied", |c| c.nodes[i].logged("seeds=127.0.0.9:7720"));
     }
     let id = "00000000000000e1";
-    cell.wait("a job is taken", |c| submit(c, id, &job_body(1)) == 200);
+    cell.wait("a job is accepted", |c| submit(c, id, &job_body(1)) == 200);
     cell.wait("the job is done", |c| c.state(id).as_deref() == Some("completed"));
 }
 
 #[test]
 fn faulty_settings_are_told_all_together_and_nothing_starts() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let file = folder.path().join("settings.json");
     let text =
         r#"{"serves":["control_plane"],"ip":"nowhere","listen":{},"seeds":["x:1","10.0.0.1"]}"#;
-    std::fs::write(&file, text).expect("written settings");
+    std::fs::write(&file, text).expect("the settings are written");
     let output = Command::new(env!("CARGO_BIN_EXE_heathvaled"))
         .env("HEATHVALE_NODE_FILE", &file)
         .output()
         .expect("a process");
-    let told = String::from_utf8_lossy(&output.stderr).to_string();
-    assert_eq!(output.status.code(), Some(2), "{told}");
+    let stderr = String::from_utf8_lossy(&output.stderr).to_string();
+    assert_eq!(output.status.code(), Some(2), "{stderr}");
     for field in ["ip", "listen.control", "data_dir", "port_range", "seeds[0]", "seeds[1]"] {
-        assert!(told.contains(&format!("field {field}:")), "{field} is not told of:\n{told}");
+        assert!(stderr.contains(&format!("field {field}:")), "{field} is not reported:\n{stderr}");
     }
 }
--- a/tests/platform/soak.rs
+++ b/tests/platform/soak.rs
@@ -1,8 +1,8 @@
-//! A randomized soak: a cell of real processes under overlapping faults, with promises checked from
-//! what callers and workers see.
+//! A randomized soak test: a cell of real processes under overlapping faults. The guarantees are checked from what callers
+//! and workers observe.
 //!
-//! `HEATHVALE_SOAK_SEEDS=1-50 cargo test --test platform soak -- --nocapture` plays many seeds; CI
-//! plays the ones in [`SHORT`] and every seed that ever failed, see [`REGRESSIONS`].
+//! `HEATHVALE_SOAK_SEEDS=1-50 cargo test --test platform soak -- --nocapture` runs a range of seeds. CI runs those in
+//! [`SHORT`] and the seeds that failed before, see [`REGRESSIONS`].
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -17,58 +17,63 @@
 
 use crate::cell::{Cell, faulty_job_body, job_body, job_call};
 
-/// The seeds that CI plays.
-const SHORT: [u64; 4] = [1, 2, FIRST_WITH_CRASHES, FIRST_WITH_LIVES];
-/// From this seed on some jobs have a task that ends each worker that runs it.
-const FIRST_WITH_CRASHES: u64 = 1_000;
-/// From this seed on workers start again under their names, again and again beside all other faults. No job has such a task
-/// then, as what a worker that starts again runs is suspect.
-const FIRST_WITH_LIVES: u64 = 2_000;
-/// The longest time between two such starts, and the longest that a worker is down, in milliseconds.
-const LONGEST_LIFE_MS: u64 = 4_000;
-const LONGEST_DOWN_MS: u64 = 600;
-/// How many lives a worker may begin in a row, each while the one before is hardly known.
-const MOST_IN_A_ROW: u64 = 3;
-/// One job in so many has such a task then; each takes down three of the four workers, for half a second each.
-const FAULTY_EVERY: u64 = 40;
-/// How many workers may crash under a task before nothing of its job is started any more, and how many starts may
-/// follow where a crash is known late, as behind a cut.
+/// The seeds that CI runs besides [`REGRESSIONS`].
+const SHORT: [u64; 4] = [1, 2, FIRST_SEED_WITH_CRASHES, FIRST_SEED_WITH_RESTARTS];
+/// The first seed with jobs that have a task which crashes each worker that runs it.
+const FIRST_SEED_WITH_CRASHES: u64 = 1_000;
+/// The first seed with workers that restart under their ids, repeatedly and beside all other faults. These seeds have no
+/// jobs that crash workers, as the tasks of a worker that restarts are crash suspects themselves.
+const FIRST_SEED_WITH_RESTARTS: u64 = 2_000;
+/// The maximum time between two rounds of worker restarts, in milliseconds.
+const MAX_UPTIME_MS: u64 = 4_000;
+/// The maximum downtime of a worker that restarts, in milliseconds.
+const MAX_DOWNTIME_MS: u64 = 600;
+/// The maximum number of restarts of a worker in a row, each while the cell hardly knows the incarnation before.
+const MAX_RESTARTS_IN_A_ROW: u64 = 3;
+/// One job in this many has a task that crashes its workers. Each such job takes down three of the four workers, for half a
+/// second each.
+const FAULTY_JOB_INTERVAL: u64 = 40;
+/// The number of workers that may crash under a task before nothing of its job is started any more.
 const MAX_CRASHES: usize = 3;
-const MOST_LATE_STARTS: usize = 2;
-/// Seeds that once failed. 1 and 37: a control process panicked in the timer of a library, whose
-/// arithmetic overflows for a timer of no length; our loops no longer use it. 5 and 39: the check took
-/// a task that was started again after its worker's lease had run out for one that was done twice. 37
-/// also: it took a configuration that got no clear answer for one that may not be in force. 2016: the check did not count a
-/// start that was on its way as its worker's life ended, of which nobody knows whether it began.
+/// The maximum number of starts that may follow if a crash is detected late, as behind a broken connection.
+const MAX_LATE_STARTS: usize = 2;
+/// Seeds that failed before.
+///
+/// - 1 and 37: a control process panicked in the timer of a library, whose arithmetic overflows for a timer of zero length.
+///   Our loops no longer use that timer.
+/// - 5 and 39: the check took a task that was restarted after its worker's lease had expired for one that was done twice.
+/// - 37: the check took a configuration whose publication got no clear answer for one that cannot be active.
+/// - 2016: the check did not count a start that was in transit when its worker's incarnation ended, which may or may not
+///   have run.
 const REGRESSIONS: [u64; 4] = [5, 37, 39, 2_016];
-/// How many faults a seed has.
+/// The number of faults in the run of a seed.
 const FAULTS: usize = 10;
 
-/// What callers know of a job that they have sent.
+/// A job that was sent, as callers know it.
 #[derive(Clone, Debug)]
-struct Sent {
+struct SentJob {
     id: String,
-    /// Whether it was acknowledged.
+    /// Whether the job was acknowledged.
     accepted: bool,
-    /// Whether every attempt was answered with a refusal that says it has not run.
+    /// Whether every attempt was refused with the statement that the job has not run.
     refused: bool,
-    /// Whether a task of it ends its workers.
+    /// Whether a task of the job crashes its workers.
     faulty: bool,
 }
 
-/// Sends jobs until told to stop, each at most four times, and writes down what was answered.
+/// Sends jobs until `stop` is set, each at most four times, and records the answers.
 fn send_jobs(
     fronts: &[std::net::SocketAddr],
     seed: u64,
     stop: &AtomicBool,
-    sent: &Mutex<Vec<Sent>>,
+    sent: &Mutex<Vec<SentJob>>,
 ) {
     let mut n = 0_u64;
     while !stop.load(Ordering::SeqCst) {
         n += 1;
         let id = format!("{:08x}{n:08x}", seed as u32 | 1 << 31);
-        let with_crashes = (FIRST_WITH_CRASHES..FIRST_WITH_LIVES).contains(&seed);
-        let faulty = with_crashes && n.is_multiple_of(FAULTY_EVERY);
+        let with_crashes = (FIRST_SEED_WITH_CRASHES..FIRST_SEED_WITH_RESTARTS).contains(&seed);
+        let faulty = with_crashes && n.is_multiple_of(FAULTY_JOB_INTERVAL);
         let tasks = 1 + (n % 3) as u32;
         let body = if faulty { faulty_job_body(tasks) } else { job_body(tasks) };
         let (mut accepted, mut refused) = (false, true);
@@ -84,20 +89,20 @@
             }
             thread::sleep(Duration::from_millis(100));
         }
-        let job = Sent { id, accepted, refused: refused && !accepted, faulty };
+        let job = SentJob { id, accepted, refused: refused && !accepted, faulty };
         sent.lock().unwrap_or_else(|e| e.into_inner()).push(job);
         thread::sleep(Duration::from_millis(60));
     }
 }
 
-/// Starts a random fault, or ends one. At most one control instance is away at a time, as many as
-/// three can bear; workers and entry instances fail in any number.
-fn disturb(cell: &mut Cell, rng: &mut StdRng, away: &mut Option<usize>) -> String {
-    if let Some(i) = away.take() {
+/// Injects a random fault or ends one, and returns its description. At most one control instance is down at a time, as three
+/// tolerate the loss of one. Any number of workers and entry instances may fail.
+fn inject_fault(cell: &mut Cell, rng: &mut StdRng, down_control: &mut Option<usize>) -> String {
+    if let Some(i) = down_control.take() {
         cell.nodes[i].signal("CONT");
         cell.nodes[i].kill();
         cell.nodes[i].start();
-        // The others must have it back before the next one goes.
+        // The instance must have rejoined before the next one fails.
         thread::sleep(Duration::from_millis(2_500));
         return format!("control {i} is back");
     }
@@ -107,24 +112,24 @@
     match rng.random_range(0..8) {
         0 => {
             cell.nodes[control].kill();
-            *away = Some(control);
+            *down_control = Some(control);
             format!("control {control} is killed")
         }
         1 => {
             cell.nodes[control].signal("STOP");
-            *away = Some(control);
-            format!("control {control} stands still")
+            *down_control = Some(control);
+            format!("control {control} is suspended")
         }
         2 => {
             cell.nodes[control].kill();
             cell.nodes[control].wipe();
-            *away = Some(control);
+            *down_control = Some(control);
             format!("control {control} loses its disk")
         }
         3 => {
             cell.nodes[control].signal("TERM");
             cell.nodes[control].wait_end();
-            *away = Some(control);
+            *down_control = Some(control);
             format!("control {control} is stopped")
         }
         4 => {
@@ -151,15 +156,15 @@
     }
 }
 
-/// Starts workers again under their names until told to stop: one or several at once, some in a row, some with more or
-/// less than before or after they said that they leave.
+/// Restarts workers under their ids until `stop` is set: one or all at a time, once or several times in a row, some with a
+/// changed capacity or after announcing that they leave.
 fn restart_workers(workers: &[PlatformWorker], seed: u64, stop: &AtomicBool) {
-    let mut rng = StdRng::seed_from_u64(seed ^ FIRST_WITH_LIVES);
+    let mut rng = StdRng::seed_from_u64(seed ^ FIRST_SEED_WITH_RESTARTS);
     while !stop.load(Ordering::SeqCst) {
-        thread::sleep(Duration::from_millis(rng.random_range(100..LONGEST_LIFE_MS)));
+        thread::sleep(Duration::from_millis(rng.random_range(100..MAX_UPTIME_MS)));
         let all_at_once = rng.random_bool(0.1);
         let one = rng.random_range(0..workers.len());
-        let times = rng.random_range(1..=MOST_IN_A_ROW);
+        let times = rng.random_range(1..=MAX_RESTARTS_IN_A_ROW);
         let chosen = workers.iter().enumerate().filter(|(i, _)| all_at_once || *i == one);
         for (_, worker) in chosen {
             match rng.random_range(0..4) {
@@ -168,17 +173,17 @@
                 _ => {}
             }
             for _ in 0..times {
-                worker.restart(Duration::from_millis(rng.random_range(0..LONGEST_DOWN_MS)));
-                thread::sleep(Duration::from_millis(rng.random_range(0..LONGEST_DOWN_MS)));
+                worker.restart(Duration::from_millis(rng.random_range(0..MAX_DOWNTIME_MS)));
+                thread::sleep(Duration::from_millis(rng.random_range(0..MAX_DOWNTIME_MS)));
             }
         }
     }
 }
 
 fn soak(seed: u64) {
-    let lives = seed >= FIRST_WITH_LIVES;
-    let mut cell = if lives { Cell::start_with_lives(4) } else { Cell::start(4) };
-    // They are shared with the thread that starts them again.
+    let with_restarts = seed >= FIRST_SEED_WITH_RESTARTS;
+    let mut cell = if with_restarts { Cell::start_with_fixed_ids(4) } else { Cell::start(4) };
+    // The thread that restarts the workers shares them.
     let workers = cell.workers.clone();
     let mut rng = StdRng::seed_from_u64(seed);
     let stop = Arc::new(AtomicBool::new(false));
@@ -190,36 +195,36 @@
     let restarter = {
         let stop = stop.clone();
         thread::spawn(move || {
-            if lives {
+            if with_restarts {
                 restart_workers(&workers, seed, &stop)
             }
         })
     };
-    let mut away = None;
-    let mut told = Vec::new();
+    let mut down_control = None;
+    let mut faults = Vec::new();
     for _ in 0..FAULTS {
-        told.push(disturb(&mut cell, &mut rng, &mut away));
+        faults.push(inject_fault(&mut cell, &mut rng, &mut down_control));
         cell.revive();
         if rng.random_bool(0.5) {
             cell.publish();
         }
         thread::sleep(Duration::from_millis(rng.random_range(100..1_200)));
     }
-    if away.is_some() {
-        told.push(disturb(&mut cell, &mut rng, &mut away));
+    if down_control.is_some() {
+        faults.push(inject_fault(&mut cell, &mut rng, &mut down_control));
     }
     cell.workers.iter().for_each(|w| w.proxy().spoil(Spoil::Nothing));
     stop.store(true, Ordering::SeqCst);
-    sender.join().expect("the sender ends");
-    restarter.join().expect("the restarts end");
+    sender.join().expect("the sender thread ends");
+    restarter.join().expect("the restarting thread ends");
     let sent = sent.lock().unwrap_or_else(|e| e.into_inner()).clone();
-    let history = format!("seed {seed}: {told:#?}");
+    let history = format!("seed {seed}: {faults:#?}");
     for job in sent.iter().filter(|j| j.accepted) {
-        cell.wait(&format!("{} is over; {history}", job.id), |c| {
+        cell.wait(&format!("{} has ended; {history}", job.id), |c| {
             matches!(c.state(&job.id).as_deref(), Some("completed" | "failed"))
         });
     }
-    check_given_up(&cell, &sent, &history);
+    check_failed_jobs(&cell, &sent, &history);
     cell.wait(&format!("the configuration reads back; {history}"), |c| c.reads_newest());
     let violations = cell.runs.violations();
     let lines = |v: &String| cell.lines_about(v.split(':').next().unwrap_or_default());
@@ -228,52 +233,52 @@
     let runs = cell.runs.runs();
     for job in sent.iter().filter(|j| j.refused) {
         let ran = runs.iter().any(|r| r.task.starts_with(&job.id));
-        assert!(!ran, "{} was refused and ran; {history}", job.id);
+        assert!(!ran, "{} ran although it was refused; {history}", job.id);
     }
     let overcommits: usize = cell.workers.iter().map(testkit::PlatformWorker::overcommits).sum();
     assert_eq!(overcommits, 0, "{history}");
-    for told in &cell.own_ends {
-        println!("seed {seed}: a process has ended by itself: {told}");
+    for exit in &cell.unexpected_exits {
+        println!("seed {seed}: a process ended by itself: {exit}");
     }
-    let count = |f: fn(&Sent) -> bool| sent.iter().filter(|j| f(j)).count();
+    let count = |f: fn(&SentJob) -> bool| sent.iter().filter(|j| f(j)).count();
     let (accepted, refused) = (count(|j| j.accepted), count(|j| j.refused));
     let faulty = count(|j| j.accepted && j.faulty);
     let crashes: usize = cell.workers.iter().map(testkit::PlatformWorker::crashes).sum();
-    assert!(accepted > 0, "nothing was accepted; {history}");
+    assert!(accepted > 0, "no job was accepted; {history}");
     println!(
-        "seed {seed}: {accepted} jobs accepted and over, {faulty} of them at fault, {crashes} crashes of workers, {refused} refused, {} runs",
+        "seed {seed}: {accepted} jobs accepted and ended, {faulty} of them faulty, {crashes} worker crashes, {refused} refused, {} runs",
         runs.len()
     );
 }
 
-/// Checks the jobs that were given up: those with a task that ends its workers, after as many crashes as is promised,
-/// and others only if as many workers have crashed under one of their tasks, too. So few workers that are full
-/// leave a task no choice whom it runs beside.
-fn check_given_up(cell: &Cell, sent: &[Sent], history: &str) {
+/// Checks which jobs failed. A job with a task that crashes its workers must fail, after [`MAX_CRASHES`] crashes and at most
+/// [`MAX_LATE_STARTS`] more. Another job may fail only if as many workers crashed under one of its tasks, too: with so few
+/// workers, all full, a task cannot avoid running beside a faulty one.
+fn check_failed_jobs(cell: &Cell, sent: &[SentJob], history: &str) {
     let runs = cell.runs.runs();
     for job in sent.iter().filter(|j| j.accepted) {
         let failed = cell.state(&job.id).as_deref() == Some("failed");
         let mut crashes: BTreeMap<&str, usize> = BTreeMap::new();
-        let gone = |r: &&RunRecord| r.to.is_some_and(|(_, how)| how == "gone");
-        for run in runs.iter().filter(|r| r.task.starts_with(&job.id)).filter(gone) {
+        let crashed = |r: &&RunRecord| r.to.is_some_and(|(_, how)| how == "gone");
+        for run in runs.iter().filter(|r| r.task.starts_with(&job.id)).filter(crashed) {
             *crashes.entry(&run.task).or_default() += 1;
         }
-        let most = crashes.values().max().copied().unwrap_or(0);
-        assert!(failed || !job.faulty, "{} is at fault and not failed; {history}", job.id);
+        let max = crashes.values().max().copied().unwrap_or(0);
+        assert!(failed || !job.faulty, "{} is faulty and has not failed; {history}", job.id);
         let lines = || cell.lines_about(&job.id);
-        // A start on its way as its worker's life ends counts as begun: nobody knows whether it was.
-        let is_due = || most_with_lost_starts(&crashes, &lines()) >= MAX_CRASHES;
+        // A start in transit when its worker's incarnation ends counts as a run, as it is unknown whether it began.
+        let is_due = || max_with_lost_starts(&crashes, &lines()) >= MAX_CRASHES;
         assert!(!failed || is_due(), "{}; {history}\n{}", job.id, lines());
-        assert!(most <= MAX_CRASHES + MOST_LATE_STARTS, "{}; {history}\n{}", job.id, lines());
+        assert!(max <= MAX_CRASHES + MAX_LATE_STARTS, "{}; {history}\n{}", job.id, lines());
         if failed && !job.faulty {
-            println!("given up beside jobs at fault: {}, {most} crashes", job.id);
+            println!("failed beside faulty jobs: {}, {max} crashes", job.id);
         }
     }
 }
 
-/// Gives under how many ends of lives that task of a job was which met the most, as run or as a start on its way: the workers
-/// know of the runs, and only the log of such starts.
-fn most_with_lost_starts(crashes: &BTreeMap<&str, usize>, lines: &str) -> usize {
+/// Returns the maximum number of ended incarnations that a single task of a job was part of, as a run or as a start in
+/// transit. The runs are known from the workers, such starts only from the log.
+fn max_with_lost_starts(crashes: &BTreeMap<&str, usize>, lines: &str) -> usize {
     let mut counts: BTreeMap<String, usize> =
         crashes.iter().map(|(task, n)| (task.to_string(), *n)).collect();
     let lost = lines.lines().filter(|l| l.contains(" run_lost ") && l.contains("stage=starting"));
@@ -284,10 +289,11 @@
     counts.into_values().max().unwrap_or(0)
 }
 
-/// Gives the seeds to play: a range in the environment, or the short list.
+/// Returns the seeds to run: the range given in the environment, or [`SHORT`] and [`REGRESSIONS`].
 fn seeds() -> Vec<u64> {
-    let asked = std::env::var("HEATHVALE_SOAK_SEEDS").unwrap_or_default();
-    let range = asked.split_once('-').and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
+    let requested = std::env::var("HEATHVALE_SOAK_SEEDS").unwrap_or_default();
+    let range =
+        requested.split_once('-').and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
     match range {
         Some((from, to)) => (from..=to).collect(),
         None => SHORT.into_iter().chain(REGRESSIONS).collect(),
