--- a/components/events/src/merge.rs
+++ b/components/events/src/merge.rs
@@ -1,35 +1,35 @@
-//! Reading the log files of many processes back as one story, as told in docs/OPERATIONS.md.
+//! Merges the log files of several processes into one sequence, as described in docs/OPERATIONS.md.
 
 use std::collections::BTreeSet;
 
 use crate::catalogue::kinds::{LINES_DROPPED, NODE_STARTED, NODE_STOPPED};
 
-/// A line of the log, with the process that wrote it.
+/// A log line and the process that wrote it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Line {
     /// The wall time in milliseconds since 1970, by the clock of the writer's machine.
     pub wall_ms: u64,
-    /// The process, by the name of its log file.
+    /// The name of the process, which is that of its log file.
     pub process: String,
     /// The number of the event's kind.
     pub number: u32,
-    /// Level, number, name, what it is about, and the inputs.
+    /// The line after its wall time: level, number, name, subject and details.
     pub text: String,
 }
 
-/// What lines of a process are missing, and why.
+/// A place where log lines of a process are missing, and the reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Gap {
-    /// When it was told, as [`Line::wall_ms`].
+    /// The wall time of the line that shows the gap, as in [`Line::wall_ms`].
     pub wall_ms: u64,
     /// The process.
     pub process: String,
-    /// Why its lines are missing.
-    pub why: String,
+    /// The reason why lines are missing.
+    pub reason: String,
 }
 
-/// Reads the lines that one process wrote. Whatever is no line of ours is passed over, as a process
-/// that was killed may have written part of one.
+/// Returns the log lines of one process. Text that is not a complete log line is skipped, because a process
+/// that was killed may have written only part of a line.
 pub fn read_lines(process: &str, text: &str) -> Vec<Line> {
     text.lines().filter_map(|line| read_line(process, line)).collect()
 }
@@ -41,8 +41,8 @@
     Some(Line { wall_ms, process: process.to_string(), number, text: text.to_string() })
 }
 
-/// Merges the lines of all processes by wall time. Lines of one process stay in their order, also
-/// where its clock was set back, so that no effect comes before its cause there.
+/// Merges the lines of all processes by wall time. The lines of one process keep their order even where its
+/// clock was set back, so that within a process no effect is listed before its cause.
 pub fn merge(files: Vec<Vec<Line>>) -> Vec<Line> {
     let mut keyed: Vec<(u64, Line)> = Vec::new();
     for lines in files {
@@ -52,27 +52,28 @@
             keyed.push((latest, line));
         }
     }
-    // The sort is stable, so equal times keep the order of the file.
+    // The sort is stable, so lines with equal times keep the order of the file.
     keyed.sort_by_key(|(at, _)| *at);
     keyed.into_iter().map(|(_, line)| line).collect()
 }
 
-/// Tells whether a line is about an id: of a job, one of its steps or tasks, a call on it, a worker or
-/// an instance.
+/// Returns whether a line is about an id: that of a job, of one of its steps or tasks, of a call for it, of a
+/// worker or of an instance.
 pub fn is_about(line: &Line, id: &str) -> bool {
     let parts = line.text.split([' ', '/', '=', ',']);
     parts.into_iter().any(|part| part == id || part.split('.').next() == Some(id))
 }
 
-/// Finds where lines are missing: dropped ones, and ends that a process could not tell of.
+/// Returns the places where lines are missing: lines that were dropped, and restarts of a process that did not
+/// log that it stopped.
 pub fn gaps(merged: &[Line]) -> Vec<Gap> {
     let mut gaps = Vec::new();
     let mut running = BTreeSet::new();
     for line in merged {
-        let why = match line.number {
+        let reason = match line.number {
             n if n == LINES_DROPPED.number => format!("dropped: {}", line.text),
             n if n == NODE_STARTED.number && !running.insert(line.process.clone()) => {
-                "started again without telling that it stopped: its last lines may be lost".into()
+                "started again without a node_stopped line: its last lines may be lost".into()
             }
             n if n == NODE_STOPPED.number => {
                 running.remove(&line.process);
@@ -80,7 +81,7 @@
             }
             _ => continue,
         };
-        gaps.push(Gap { wall_ms: line.wall_ms, process: line.process.clone(), why });
+        gaps.push(Gap { wall_ms: line.wall_ms, process: line.process.clone(), reason });
     }
     gaps
 }
--- a/src/bin/heathvaled.rs
+++ b/src/bin/heathvaled.rs
@@ -1,4 +1,4 @@
-//! `heathvaled`: one instance of heathvale.
+//! `heathvaled`: the daemon that runs one instance of heathvale.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -10,8 +10,8 @@
 use log::LevelFilter;
 use settings::{Flags, Settings};
 
-/// The exit code for faulty settings; nothing was started.
-const FAULTY_SETTINGS: u8 = 2;
+/// The exit code for invalid settings, before anything was started.
+const INVALID_SETTINGS_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
@@ -19,7 +19,7 @@
         Ok(flags) => flags,
         Err(e) => {
             eprintln!("heathvaled: {e}; see heathvaled --help");
-            return ExitCode::from(FAULTY_SETTINGS);
+            return ExitCode::from(INVALID_SETTINGS_EXIT_CODE);
         }
     };
     if flags.help {
@@ -38,20 +38,20 @@
         Ok(settings) => start(settings),
         Err(findings) => {
             eprintln!("{:?}", miette::Report::new(findings));
-            ExitCode::from(FAULTY_SETTINGS)
+            ExitCode::from(INVALID_SETTINGS_EXIT_CODE)
         }
     }
 }
 
-/// Runs a process whose settings the users' platform has written.
+/// Runs the process with the settings file that the users' platform has written.
 fn start_on_platform(file: PathBuf) -> ExitCode {
-    let started = events::start_logging_to_stdout(LevelFilter::Info);
+    let logging = events::start_logging_to_stdout(LevelFilter::Info);
     events::exit_on_panic();
-    match started.and_then(|()| platform::run(file)) {
+    match logging.and_then(|()| platform::run(file)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(Error::Findings(findings)) => {
             eprintln!("{:?}", miette::Report::new(findings));
-            ExitCode::from(FAULTY_SETTINGS)
+            ExitCode::from(INVALID_SETTINGS_EXIT_CODE)
         }
         Err(e) => {
             eprintln!("{:?}", miette::Report::new(e));
@@ -60,6 +60,7 @@
     }
 }
 
+/// Runs the instance of an own cell, with settings from flags and environment variables.
 fn start(settings: Settings) -> ExitCode {
     let format = match settings.log_format {
         settings::LogFormat::Text => LogFormat::Text,
@@ -72,8 +73,8 @@
         _ => LevelFilter::Info,
     };
     let name = settings.own.id.to_string();
-    let ran = events::start_logging(&name, format, level).and_then(|()| instance::run(settings));
-    match ran {
+    let result = events::start_logging(&name, format, level).and_then(|()| instance::run(settings));
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("{:?}", miette::Report::new(e));
--- a/src/change.rs
+++ b/src/change.rs
@@ -1,4 +1,4 @@
-//! Making one change, with resends under the same key until its outcome is known.
+//! Submits one change and resends it under the same request key until its outcome is known.
 
 use std::net::SocketAddr;
 
@@ -8,30 +8,32 @@
 use ntex::time::{Millis as Wait, sleep};
 use rand::Rng;
 
-use crate::reach;
+use crate::rpc;
 
-/// How often a change is sent before its outcome is told as unknown.
-const TRIES: u32 = 10;
-const BETWEEN_TRIES: Wait = Wait(500);
+/// How often a change is sent before its outcome is reported as unknown.
+const MAX_ATTEMPTS: u32 = 10;
+/// The pause between two attempts.
+const RETRY_INTERVAL: Wait = Wait(500);
 
-/// Draws a request key.
+/// Returns a new random request key.
 pub fn new_key() -> String {
     format!("{}-{:016x}", clock::wall_now().0, rand::rng().random::<u64>())
 }
 
-/// Sends a change until it is accepted or surely not. `call` sends it under the same key each time,
-/// so that a change whose answer was lost is not made twice.
+/// Sends a change until it is accepted or known to have been rejected, and returns its version. `call` sends
+/// it under the same key each time, so that a change whose answer was lost is not applied twice.
 ///
 /// # Errors
-/// [`Error::Refused`] with what stands in the way.
-pub async fn make(
+/// [`Error::Refused`] with the reason why the change was not accepted, or with the last failure if its
+/// outcome is still unknown after [`MAX_ATTEMPTS`] attempts.
+pub async fn submit(
     instances: &[SocketAddr],
     what: &str,
     call: impl AsyncFn(Operator) -> Option<ChangeReply>,
 ) -> Result<u64> {
-    let mut last = String::from("no instance answers");
-    for _ in 0..TRIES {
-        match reach::first(instances, &call).await {
+    let mut last_failure = String::from("no instance answers");
+    for _ in 0..MAX_ATTEMPTS {
+        match rpc::call_first(instances, &call).await {
             Ok(reply) => match reply.outcome {
                 Outcome::Accepted => return Ok(reply.version),
                 Outcome::Conflict => {
@@ -42,11 +44,13 @@
                 Outcome::Invalid => {
                     return Err(Error::Refused(format!("{what}: {}", reply.reason)));
                 }
-                Outcome::Refused | Outcome::Unknown => last = reply.reason.to_string(),
+                Outcome::Refused | Outcome::Unknown => last_failure = reply.reason.to_string(),
             },
-            Err(e) => last = e.to_string(),
+            Err(e) => last_failure = e.to_string(),
         }
-        sleep(BETWEEN_TRIES).await;
+        sleep(RETRY_INTERVAL).await;
     }
-    Err(Error::Refused(format!("{what}: no outcome after {TRIES} tries, the last time: {last}")))
+    Err(Error::Refused(format!(
+        "{what}: the outcome is unknown after {MAX_ATTEMPTS} attempts; the last failure: {last_failure}"
+    )))
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line's flags and subcommands.
+//! The flags and subcommands of the command line.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -6,7 +6,7 @@
 use errors::{Finding, Findings, Place};
 use gumdrop::Options;
 
-/// The variable that lists the instances.
+/// The environment variable that lists the instances.
 const INSTANCES_VARIABLE: &str = "HEATHVALE_INSTANCES";
 
 /// Operates a heathvale cell.
@@ -24,7 +24,7 @@
         help = "operator addresses ip:port, separated by commas (or HEATHVALE_INSTANCES)"
     )]
     instances: Option<String>,
-    /// What to do.
+    /// The subcommand.
     #[options(command)]
     pub command: Option<Command>,
 }
@@ -45,13 +45,15 @@
     #[options(help = "cancel jobs")]
     Cancel(CancelOpts),
     /// Read the configuration.
-    #[options(help = "print the configuration in force on one instance, and its version")]
+    #[options(help = "print the active configuration of one instance, and its version")]
     Config(ConfigOpts),
     /// Apply a configuration.
-    #[options(help = "apply a configuration file, if nothing came between")]
+    #[options(
+        help = "apply a configuration file, unless another one was applied since its base version"
+    )]
     Apply(ApplyOpts),
-    /// Drain something.
-    #[options(help = "take an instance or upstream out of use, or back in")]
+    /// Drain an instance or upstream.
+    #[options(help = "take an instance or upstream out of use, or back into use")]
     Drain(DrainOpts),
     /// Change a member's role.
     #[options(help = "change a member's role in the replicated log")]
@@ -62,7 +64,7 @@
     /// Show the time line.
     #[options(help = "show the events of all instances, merged in causal order")]
     Timeline(TimelineOpts),
-    /// Drive load.
+    /// Send load.
     #[options(help = "send a bounded load of callers' requests and print histograms")]
     Load(LoadOpts),
 }
@@ -73,7 +75,7 @@
     /// Print this help.
     #[options(help = "print this help")]
     help: bool,
-    /// The file.
+    /// The job file.
     #[options(free, required, help = "the job file")]
     pub file: String,
     /// The request key.
@@ -87,8 +89,8 @@
     /// Print this help.
     #[options(help = "print this help")]
     help: bool,
-    /// Whether the answer must hold every accepted change.
-    #[options(help = "only an answer that holds every change accepted before")]
+    /// Whether the answer must include every change that was accepted before the call.
+    #[options(help = "only an answer that includes every change accepted before")]
     pub fresh: bool,
 }
 
@@ -128,10 +130,10 @@
     /// Print this help.
     #[options(help = "print this help")]
     help: bool,
-    /// The file.
+    /// The configuration file.
     #[options(free, required, help = "the configuration file")]
     pub file: String,
-    /// The version it was made from.
+    /// The version of the configuration that the file was made from.
     #[options(help = "the version that the file was made from, as `config` prints it")]
     pub base: u64,
     /// The request key.
@@ -145,11 +147,11 @@
     /// Print this help.
     #[options(help = "print this help")]
     help: bool,
-    /// What to drain.
+    /// The instance or upstream to drain.
     #[options(free, required, help = "the instance or upstream")]
     pub target: String,
-    /// Take it back in.
-    #[options(help = "take it back in")]
+    /// Whether to take the target back into use.
+    #[options(help = "take it back into use")]
     pub back: bool,
 }
 
@@ -173,8 +175,8 @@
     /// Print this help.
     #[options(help = "print this help")]
     help: bool,
-    /// Show upstreams too.
-    #[options(help = "show each upstream, too")]
+    /// Whether to show each upstream as well.
+    #[options(help = "show each upstream as well")]
     pub upstreams: bool,
 }
 
@@ -184,29 +186,29 @@
     /// Print this help.
     #[options(help = "print this help")]
     help: bool,
-    /// A task.
+    /// The task that the events must be about.
     #[options(help = "only events about this task (job/number)")]
     pub task: Option<String>,
-    /// A job.
+    /// The job that the events must be about.
     #[options(help = "only events about this job")]
     pub job: Option<String>,
-    /// A request.
+    /// The id of the request that the events must be about.
     #[options(help = "only events about this request id")]
     pub request: Option<String>,
-    /// An instance.
-    #[options(no_short, help = "only events that this instance noted")]
+    /// The instance that must have recorded the events.
+    #[options(no_short, help = "only events that this instance recorded")]
     pub on: Option<String>,
-    /// From when.
+    /// The wall time of the earliest event, in milliseconds since 1970.
     #[options(no_short, help = "only events from this time on, in ms since 1970")]
     pub from: u64,
-    /// Until when.
+    /// The wall time of the latest event, in milliseconds since 1970; zero for no limit.
     #[options(no_short, help = "only events up to this time, in ms since 1970")]
     pub to: u64,
-    /// Log files.
+    /// The log files to read.
     #[options(
         no_short,
         meta = "LIST",
-        help = "log files of processes, separated by commas, to read in place of asking instances"
+        help = "log files of processes, separated by commas, to read instead of calling instances"
     )]
     pub logs: Option<String>,
 }
@@ -217,44 +219,48 @@
     /// Print this help.
     #[options(help = "print this help")]
     help: bool,
-    /// Callers' addresses.
+    /// The addresses that callers connect to.
     #[options(required, help = "callers' addresses ip:port, separated by commas")]
     pub to: String,
-    /// Requests a second.
-    #[options(default = "100", help = "requests a second (at most 5000)")]
+    /// The number of requests per second.
+    #[options(default = "100", help = "requests per second (at most 5000)")]
     pub rate: u64,
-    /// How long.
+    /// For how many seconds requests are sent.
     #[options(default = "5", help = "for how many seconds (at most 600)")]
     pub seconds: u64,
-    /// The mix.
+    /// The classes of requests and their weights.
     #[options(
         no_short,
         default = "urgent=50,normal=30,bulk=20",
         help = "the classes and their weights"
     )]
     pub mix: String,
-    /// Not repeatable requests.
+    /// The percentage of requests that are not repeatable.
     #[options(no_short, default = "0", help = "percent of requests that are not repeatable")]
     pub once_percent: u32,
-    /// Work of a request.
-    #[options(no_short, default = "5", help = "how long the stand-in works on a request, in ms")]
+    /// How long the upstream works on a request, in milliseconds.
+    #[options(
+        no_short,
+        default = "5",
+        help = "how long the test upstream works on a request, in ms"
+    )]
     pub work_ms: u64,
-    /// Deadline of a request.
+    /// How long a request waits for its answer, in milliseconds.
     #[options(no_short, default = "2000", help = "how long a request waits for its answer, in ms")]
     pub deadline_ms: u64,
-    /// The seed.
-    #[options(default = "1", help = "seeds the order and classes")]
+    /// The seed of the random choices.
+    #[options(default = "1", help = "seed of the random targets and classes")]
     pub seed: u64,
-    /// A file for each answer.
+    /// The file to write each answer to.
     #[options(no_short, help = "a file to write each answer to, as JSON lines")]
     pub answers: Option<String>,
 }
 
 impl Cli {
-    /// Gives the instances to call.
+    /// Returns the addresses of the instances to call.
     ///
     /// # Errors
-    /// Gives every address that is none.
+    /// Returns a finding for each part that is not an address.
     pub fn instances(&self) -> Result<Vec<SocketAddr>, Findings> {
         let (text, place) = match &self.instances {
             Some(text) => (text.clone(), Place::Flag("instances".into())),
@@ -267,10 +273,10 @@
     }
 }
 
-/// Reads addresses separated by commas.
+/// Parses a list of addresses separated by commas.
 ///
 /// # Errors
-/// Gives every address that is none.
+/// Returns a finding for each part that is not an address.
 pub fn parse_addresses(text: &str, place: &Place) -> Result<Vec<SocketAddr>, Findings> {
     let mut findings = Findings::default();
     let mut addresses = Vec::new();
@@ -286,15 +292,15 @@
     findings.into_result(addresses)
 }
 
-/// Prints the help of the subcommand at hand, or of all.
+/// Prints the help of the given subcommand, or of the whole tool if there is none.
 pub fn print_help(cli: &Cli) -> ExitCode {
     match cli.command.as_ref().and_then(|c| c.command_name().map(|n| (c, n))) {
         Some((command, name)) => {
-            say!("Usage: heathvale {name} [FLAGS]\n\n{}", command.self_usage());
+            outln!("Usage: heathvale {name} [FLAGS]\n\n{}", command.self_usage());
         }
         None => {
-            say!("Usage: heathvale [FLAGS] COMMAND\n\n{}", Cli::usage());
-            say!("\nCommands:\n{}", Command::usage());
+            outln!("Usage: heathvale [FLAGS] COMMAND\n\n{}", Cli::usage());
+            outln!("\nCommands:\n{}", Command::usage());
         }
     }
     ExitCode::SUCCESS
--- a/src/cmd/apply.rs
+++ b/src/cmd/apply.rs
@@ -8,10 +8,10 @@
 use crate::cli::ApplyOpts;
 use crate::{change, files};
 
-/// Applies a configuration file made from a known version.
+/// Applies a configuration file that was made from the version `--base`.
 ///
 /// # Errors
-/// All faults of the file, or that another configuration came first.
+/// All faults of the file, or a conflict if another configuration was applied since the base version.
 pub async fn run(instances: &[SocketAddr], opts: &ApplyOpts) -> Result<()> {
     let text = files::read_text(&opts.file)?;
     model::parse_config(&opts.file, &text)?;
@@ -21,7 +21,7 @@
         text: text.into(),
     };
     let call = async |op: api::Operator| op.apply_config(&req).send().await.ok().map(|r| r.output);
-    let version = change::make(instances, &opts.file, call).await?;
-    say!("version {version} is accepted");
+    let version = change::submit(instances, &opts.file, call).await?;
+    outln!("version {version} is accepted");
     Ok(())
 }
--- a/src/cmd/config.rs
+++ b/src/cmd/config.rs
@@ -1,4 +1,4 @@
-//! `heathvale config`: prints the configuration in force.
+//! `heathvale config`: prints the active configuration.
 
 use std::net::SocketAddr;
 
@@ -6,20 +6,20 @@
 use errors::Result;
 
 use crate::cli::ConfigOpts;
-use crate::reach;
+use crate::rpc;
 
-/// Prints the configuration in force on the first instance that knows it, and its version as a
-/// comment that `apply --base` takes.
+/// Prints the active configuration of the first instance that knows it. Its version stands before it in a
+/// comment; `apply --base` takes that number.
 ///
 /// # Errors
-/// If no instance answers.
+/// [`errors::Error::Unreachable`] if no instance answers.
 pub async fn run(instances: &[SocketAddr], _opts: &ConfigOpts) -> Result<()> {
     let req = ReadConfigRequest::default();
     let call = async |op: api::Operator| {
         op.read_config(&req).send().await.ok().map(|r| r.output).filter(|c| c.known)
     };
-    let config = reach::first(instances, call).await?;
-    say!("# version {}", config.version);
-    say!("{}", config.text.trim_end());
+    let config = rpc::call_first(instances, call).await?;
+    outln!("# version {}", config.version);
+    outln!("{}", config.text.trim_end());
     Ok(())
 }
--- a/src/cmd/create.rs
+++ b/src/cmd/create.rs
@@ -8,10 +8,10 @@
 use crate::cli::CreateOpts;
 use crate::{change, files};
 
-/// Creates the jobs of a file, after all of it was checked.
+/// Creates the jobs of a file. The whole file is checked before the first job is created.
 ///
 /// # Errors
-/// All faults of the file, or the first job that was refused.
+/// All faults of the file, or the reason why the first of the jobs that failed was refused.
 pub async fn run(instances: &[SocketAddr], opts: &CreateOpts) -> Result<()> {
     let text = files::read_text(&opts.file)?;
     let jobs = model::parse_jobs(&opts.file, &text)?;
@@ -23,8 +23,8 @@
         };
         let call =
             async |op: api::Operator| op.create_job(&req).send().await.ok().map(|r| r.output);
-        let version = change::make(instances, spec.name.as_str(), call).await?;
-        say!("created {} at version {version}", spec.name);
+        let version = change::submit(instances, spec.name.as_str(), call).await?;
+        outln!("created {} at version {version}", spec.name);
     }
     Ok(())
 }
--- a/src/cmd/drain.rs
+++ b/src/cmd/drain.rs
@@ -1,4 +1,4 @@
-//! `heathvale drain`: takes an instance or upstream out of use, or back in.
+//! `heathvale drain`: takes an instance or upstream out of use, or back into use.
 
 use std::net::SocketAddr;
 
@@ -8,10 +8,10 @@
 use crate::change;
 use crate::cli::DrainOpts;
 
-/// Takes the target out of use, or back in.
+/// Takes the target out of use, or back into use.
 ///
 /// # Errors
-/// If the change was not accepted.
+/// [`errors::Error::Refused`] if the change was not accepted.
 pub async fn run(instances: &[SocketAddr], opts: &DrainOpts) -> Result<()> {
     let req = DrainRequest {
         request_key: change::new_key().into(),
@@ -19,8 +19,8 @@
         on: !opts.back,
     };
     let call = async |op: api::Operator| op.drain(&req).send().await.ok().map(|r| r.output);
-    let version = change::make(instances, &opts.target, call).await?;
-    let what = if opts.back { "in use" } else { "out of use" };
-    say!("{} is {what} at version {version}", opts.target);
+    let version = change::submit(instances, &opts.target, call).await?;
+    let state = if opts.back { "in use" } else { "out of use" };
+    outln!("{} is {state} at version {version}", opts.target);
     Ok(())
 }
--- a/src/cmd/list.rs
+++ b/src/cmd/list.rs
@@ -6,20 +6,21 @@
 use errors::{Error, Result};
 
 use crate::cli::ListOpts;
-use crate::reach;
+use crate::rpc;
 
-/// Lists all jobs that the first reachable instance knows.
+/// Lists all jobs known to the first instance that answers.
 ///
 /// # Errors
-/// If no instance answers, or if the answer was to be fresh and could not be.
+/// [`Error::Unreachable`] if no instance answers, or [`Error::Refused`] if `--fresh` is given and no leader
+/// confirmed the answer.
 pub async fn run(instances: &[SocketAddr], opts: &ListOpts) -> Result<()> {
     let req = ListJobsRequest { fresh: opts.fresh };
     let call = async |op: api::Operator| op.list_jobs(&req).send().await.ok().map(|r| r.output);
-    let reply = reach::first(instances, call).await?;
+    let reply = rpc::call_first(instances, call).await?;
     if opts.fresh && !reply.fresh {
         return Err(Error::Refused("no leader could confirm that the answer is fresh".into()));
     }
-    say!("{:<24} {:<8} {:>6} {:>9} {:<10} reason", "job", "kind", "tasks", "finished", "state");
+    outln!("{:<24} {:<8} {:>6} {:>9} {:<10} reason", "job", "kind", "tasks", "finished", "state");
     for job in &reply.jobs {
         let kind = match job.job.kind {
             Kind::Service => "service",
@@ -28,7 +29,7 @@
         };
         let (name, tasks) = (&job.job.name, job.job.tasks);
         let (finished, state) = (job.finished, &job.state);
-        say!("{name:<24} {kind:<8} {tasks:>6} {finished:>9} {state:<10} {}", job.reason);
+        outln!("{name:<24} {kind:<8} {tasks:>6} {finished:>9} {state:<10} {}", job.reason);
     }
     Ok(())
 }
--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -1,4 +1,4 @@
-//! `heathvale load`: a bounded load of callers' requests, with histograms.
+//! `heathvale load`: sends a bounded load of callers' requests and prints how long the answers took.
 
 mod plan;
 mod tally;
@@ -17,37 +17,38 @@
 use rand::{Rng, SeedableRng};
 use upstream::headers;
 
-use self::plan::{Plan, check};
-use self::tally::{Answered, Tally};
+use self::plan::{LoadPlan, check_flags};
+use self::tally::{Answer, Tally};
 use crate::cli::LoadOpts;
 
-/// How often requests are sent and progress is looked at.
-const STEP: Wait = Wait(10);
-/// What is waited for the last answers beyond the deadline.
+/// How often requests that are due are sent, and progress is checked.
+const POLL_INTERVAL: Wait = Wait(10);
+/// How long an answer may arrive after the request's deadline, in milliseconds. Less would count answers as
+/// unreachable that are only on their way.
 const GRACE_MS: u64 = 2_000;
 
 /// One request to send.
 struct Call {
     id: String,
     class: Class,
-    /// Whether it may run once only.
-    once: bool,
+    /// Whether the request must not run more than once.
+    run_once: bool,
     work_ms: u64,
     deadline_ms: u64,
 }
 
-/// Sends the load and prints what came of it.
+/// Sends the load and prints the outcomes and latencies.
 ///
 /// # Errors
-/// All faults of the flags together.
+/// All faults of the flags together, or an I/O error if the answers cannot be written.
 pub async fn run(opts: &LoadOpts) -> Result<()> {
-    let Plan { targets, mix } = check(opts)?;
+    let LoadPlan { targets, mix } = check_flags(opts)?;
     let client = client().await?;
     let tally = Rc::new(RefCell::new(Tally::default()));
     let mut rng = StdRng::seed_from_u64(opts.seed);
     let started = Instant::now();
     let total = opts.rate * opts.seconds;
-    let mut told = 0;
+    let mut reported_seconds = 0;
     while tally.borrow().sent < total {
         let elapsed = started.elapsed().as_micros() as u64;
         let due = (elapsed * opts.rate / 1_000_000).min(total);
@@ -58,12 +59,12 @@
             tally.borrow_mut().sent += 1;
             ntex::rt::spawn(send(client.clone(), target, call, tally.clone()));
         }
-        if elapsed / 1_000_000 > told {
-            told = elapsed / 1_000_000;
+        if elapsed / 1_000_000 > reported_seconds {
+            reported_seconds = elapsed / 1_000_000;
             let t = tally.borrow();
-            say!("{told} s: sent {} answered {}", t.sent, t.answers.len());
+            outln!("{reported_seconds} s: sent {} answered {}", t.sent, t.answers.len());
         }
-        sleep(STEP).await;
+        sleep(POLL_INTERVAL).await;
     }
     wait_for_answers(opts, &tally).await;
     let tally = tally.borrow();
@@ -85,30 +86,30 @@
 
 fn new_call(opts: &LoadOpts, mix: &[(Class, u32)], number: u64, rng: &mut StdRng) -> Call {
     let total: u32 = mix.iter().map(|m| m.1).sum();
-    let mut drawn = rng.random_range(0..total);
+    let mut pick = rng.random_range(0..total);
     let mut class = mix[0].0;
     for (c, weight) in mix {
-        if drawn < *weight {
+        if pick < *weight {
             class = *c;
             break;
         }
-        drawn -= weight;
+        pick -= weight;
     }
-    let once = rng.random_range(0..100) < opts.once_percent;
+    let run_once = rng.random_range(0..100) < opts.once_percent;
     let id = format!("load-{}-{number}", opts.seed);
-    Call { id, class, once, work_ms: opts.work_ms, deadline_ms: opts.deadline_ms }
+    Call { id, class, run_once, work_ms: opts.work_ms, deadline_ms: opts.deadline_ms }
 }
 
 async fn send(client: Client, target: SocketAddr, call: Call, tally: Rc<RefCell<Tally>>) {
-    let begun = Instant::now();
-    let key = call.once.then(|| format!("{}-{}", call.id, clock::wall_now().0));
-    let (outcome, whole) = exchange(&client, target, &call, key.as_deref()).await;
-    let micros = begun.elapsed().as_micros() as u64;
+    let started = Instant::now();
+    let key = call.run_once.then(|| format!("{}-{}", call.id, clock::wall_now().0));
+    let (outcome, valid) = exchange(&client, target, &call, key.as_deref()).await;
+    let micros = started.elapsed().as_micros() as u64;
     let Call { id, class, .. } = call;
-    tally.borrow_mut().answers.push(Answered { id, key, class, outcome, whole, micros });
+    tally.borrow_mut().answers.push(Answer { id, key, class, outcome, valid, micros });
 }
 
-/// Gives the outcome and whether the answer was whole and for this request.
+/// Sends a request and returns the outcome, and whether the answer was complete and for this request.
 async fn exchange(
     client: &Client,
     target: SocketAddr,
@@ -138,16 +139,16 @@
     };
     let (outcome, id) = (header(headers::OUTCOME), header(headers::REQUEST));
     let body = response.body().await.unwrap_or_default();
-    let whole = outcome != "done" || (id == call.id && body == format!("ran:{}", call.id));
-    (outcome, whole)
+    let valid = outcome != "done" || (id == call.id && body == format!("ran:{}", call.id));
+    (outcome, valid)
 }
 
 async fn wait_for_answers(opts: &LoadOpts, tally: &Rc<RefCell<Tally>>) {
-    let waited = Instant::now();
-    let most = (opts.deadline_ms + GRACE_MS * 2) as u128;
+    let started = Instant::now();
+    let max_wait_ms = (opts.deadline_ms + GRACE_MS * 2) as u128;
     while (tally.borrow().answers.len() as u64) < tally.borrow().sent
-        && waited.elapsed().as_millis() < most
+        && started.elapsed().as_millis() < max_wait_ms
     {
-        sleep(STEP).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/src/cmd/member.rs
+++ b/src/cmd/member.rs
@@ -11,7 +11,7 @@
 /// Changes the role of a member of the replicated log.
 ///
 /// # Errors
-/// If the change was not taken up.
+/// [`errors::Error::Refused`] if the change was not accepted.
 pub async fn run(instances: &[SocketAddr], opts: &MemberOpts) -> Result<()> {
     let req = ReplaceMemberRequest {
         request_key: change::new_key().into(),
@@ -20,7 +20,7 @@
     };
     let call =
         async |op: api::Operator| op.replace_member(&req).send().await.ok().map(|r| r.output);
-    change::make(instances, &opts.instance, call).await?;
-    say!("{} becomes {}", opts.instance, opts.role);
+    change::submit(instances, &opts.instance, call).await?;
+    outln!("{} becomes {}", opts.instance, opts.role);
     Ok(())
 }
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands, one file each.
+//! The subcommands, one module each.
 
 pub mod apply;
 pub mod cancel;
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `heathvale status`: shows the instances and their figures.
+//! `heathvale status`: shows the state and the statistics of each instance.
 
 use std::net::SocketAddr;
 
@@ -6,29 +6,29 @@
 use errors::Result;
 
 use crate::cli::StatusOpts;
-use crate::reach;
+use crate::rpc;
 
-/// Shows every instance; one that cannot be reached is named as such.
+/// Shows every instance, and prints `unreachable` for one that does not answer.
 ///
 /// # Errors
-/// None so far; an unreachable instance is part of the answer.
+/// Never fails; an unreachable instance is part of the output.
 pub async fn run(instances: &[SocketAddr], opts: &StatusOpts) -> Result<()> {
     let req = StatusRequest::default();
     for addr in instances {
         let call = async |op: api::Operator| op.status(&req).send().await.ok().map(|r| r.output);
-        match reach::one(*addr, call).await {
+        match rpc::call_one(*addr, call).await {
             Some(status) => print(&status, opts.upstreams),
-            None => say!("{addr} unreachable"),
+            None => outln!("{addr} unreachable"),
         }
     }
     Ok(())
 }
 
 fn print(s: &StatusReply, upstreams: bool) {
-    let holds = if s.holds_epoch { " allocates" } else { "" };
+    let allocates = if s.holds_epoch { " allocates" } else { "" };
     let config = if s.ready { s.config_version.to_string() } else { "not-ready".to_string() };
-    say!(
-        "{} zone {} {} leader {} term {} applied {} config {config} epoch {}{holds}",
+    outln!(
+        "{} zone {} {} leader {} term {} applied {} config {config} epoch {}{allocates}",
         s.instance,
         s.zone,
         s.role,
@@ -37,12 +37,12 @@
         s.applied,
         s.epoch
     );
-    say!("  members {}", s.members.join(", "));
+    outln!("  members {}", s.members.join(", "));
     for figure in &s.figures {
-        say!("  {} {:.2} {}", figure.name, figure.value, figure.unit);
+        outln!("  {} {:.2} {}", figure.name, figure.value, figure.unit);
     }
     for u in s.upstreams.iter().filter(|_| upstreams) {
-        say!(
+        outln!(
             "  upstream {} {} in flight {}/{} reserved {}/{} milli-cores {}/{} MB",
             u.name,
             u.state,
--- a/src/cmd/timeline.rs
+++ b/src/cmd/timeline.rs
@@ -1,5 +1,5 @@
-//! `heathvale timeline`: the events of all instances in causal order, from the instances themselves or
-//! from log files.
+//! `heathvale timeline`: shows the events of all instances, read from the instances in causal order or
+//! from log files by wall time.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -10,13 +10,13 @@
 use events::{Line, gaps, is_about, merge, read_lines};
 
 use crate::cli::TimelineOpts;
-use crate::reach;
+use crate::rpc;
 
-/// Merges the events of all instances. Instances that cannot be reached are named, because their
-/// events are missing.
+/// Prints the events of all instances in causal order, and the instances that do not answer, because their
+/// events may be missing.
 ///
 /// # Errors
-/// None so far; an unreachable instance is part of the answer.
+/// Never fails; an unreachable instance is part of the output.
 pub async fn run(instances: &[SocketAddr], opts: &TimelineOpts) -> Result<()> {
     let text = |o: &Option<String>| o.clone().unwrap_or_default().into();
     let req = TimelineRequest {
@@ -31,7 +31,7 @@
     let mut missing = Vec::new();
     for addr in instances {
         let call = async |op: api::Operator| op.timeline(&req).send().await.ok().map(|r| r.output);
-        match reach::one(*addr, call).await {
+        match rpc::call_one(*addr, call).await {
             Some(reply) => events.extend(reply.events),
             None => missing.push(*addr),
         }
@@ -39,16 +39,16 @@
     let on = opts.on.as_deref();
     events.retain(|e| on.is_none_or(|name| e.instance == name));
     events.sort_by(|a, b| (a.order, &a.instance).cmp(&(b.order, &b.instance)));
-    // Other instances of a zone keep copies of each event.
+    // The other instances of a zone keep copies of each event, so an event may be returned more than once.
     events.dedup_by(|a, b| a.order == b.order && a.instance == b.instance);
     events.iter().for_each(print);
     for addr in missing {
-        say!("{addr} unreachable: its events are missing");
+        outln!("{addr} unreachable: its events are missing");
     }
     Ok(())
 }
 
-/// Merges the lines of log files and tells where lines are missing.
+/// Prints the lines of log files merged by wall time, and then where lines are missing.
 ///
 /// # Errors
 /// [`errors::Error::Io`] if a file cannot be read.
@@ -57,30 +57,30 @@
         files.split(',').filter(|f| !f.is_empty()).map(|f| read_file(Path::new(f))).collect();
     let merged = merge(lines?);
     let missing = gaps(&merged);
-    merged.iter().filter(|l| is_wanted(l, opts)).for_each(|l| {
-        say!("{} {:<14} {}", l.wall_ms, l.process, l.text);
+    merged.iter().filter(|l| matches_filter(l, opts)).for_each(|l| {
+        outln!("{} {:<14} {}", l.wall_ms, l.process, l.text);
     });
-    for gap in missing.iter().filter(|g| in_time(g.wall_ms, opts)) {
-        say!("{} {:<14} gap: {}", gap.wall_ms, gap.process, gap.why);
+    for gap in missing.iter().filter(|g| in_time_range(g.wall_ms, opts)) {
+        outln!("{} {:<14} gap: {}", gap.wall_ms, gap.process, gap.reason);
     }
     Ok(())
 }
 
-/// The process goes by the name of its file.
+/// Reads one log file; the process is named after the file.
 fn read_file(path: &Path) -> Result<Vec<Line>> {
     let text = fs::read(path).map_err(io("read", path))?;
     let name = path.file_stem().unwrap_or_default().to_string_lossy();
     Ok(read_lines(&name, &String::from_utf8_lossy(&text)))
 }
 
-fn is_wanted(line: &Line, opts: &TimelineOpts) -> bool {
+fn matches_filter(line: &Line, opts: &TimelineOpts) -> bool {
     let ids = [&opts.job, &opts.task, &opts.request];
-    let about = ids.iter().all(|id| id.as_ref().is_none_or(|id| is_about(line, id)));
-    let on = opts.on.as_ref().is_none_or(|name| *name == line.process);
-    about && on && in_time(line.wall_ms, opts)
+    let about_ids = ids.iter().all(|id| id.as_ref().is_none_or(|id| is_about(line, id)));
+    let on_process = opts.on.as_ref().is_none_or(|name| *name == line.process);
+    about_ids && on_process && in_time_range(line.wall_ms, opts)
 }
 
-fn in_time(wall_ms: u64, opts: &TimelineOpts) -> bool {
+fn in_time_range(wall_ms: u64, opts: &TimelineOpts) -> bool {
     wall_ms >= opts.from && (opts.to == 0 || wall_ms <= opts.to)
 }
 
@@ -91,5 +91,5 @@
         .filter(|(_, value)| !value.is_empty())
         .map(|(name, value)| format!(" {name}={value}"))
         .collect();
-    say!("{} {:<6} E{} {}: {}{about}", e.wall_ms, e.instance, e.number, e.name, e.text);
+    outln!("{} {:<6} E{} {}: {}{about}", e.wall_ms, e.instance, e.number, e.name, e.text);
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,12 +1,12 @@
-//! `heathvale`: the operator's command line.
+//! `heathvale`: the command line tool for operators of a cell.
 
 #[macro_use]
-mod out;
+mod output;
 mod change;
 mod cli;
 mod cmd;
 mod files;
-mod reach;
+mod rpc;
 
 use std::process::ExitCode;
 
@@ -15,8 +15,8 @@
 
 use crate::cli::{Cli, Command};
 
-/// The exit code for faulty input; nothing was changed.
-const FAULTY_INPUT: u8 = 2;
+/// The exit code for invalid input, before any change was submitted.
+const INVALID_INPUT_EXIT_CODE: u8 = 2;
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
@@ -24,23 +24,23 @@
         Ok(cli) => cli,
         Err(e) => {
             eprintln!("heathvale: {e}; see heathvale --help");
-            return ExitCode::from(FAULTY_INPUT);
+            return ExitCode::from(INVALID_INPUT_EXIT_CODE);
         }
     };
     if cli.version {
-        say!("heathvale {}", env!("CARGO_PKG_VERSION"));
+        outln!("heathvale {}", env!("CARGO_PKG_VERSION"));
         return ExitCode::SUCCESS;
     }
     let Some(command) = cli.command.clone().filter(|_| !cli.help_requested()) else {
         return cli::print_help(&cli);
     };
-    let runner = ntex::rt::System::new("heathvale", ntex::rt::DefaultRuntime);
-    match runner.block_on(run(cli, command)) {
+    let system = ntex::rt::System::new("heathvale", ntex::rt::DefaultRuntime);
+    match system.block_on(run(cli, command)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            let faulty = matches!(e, Error::Findings(_));
+            let invalid_input = matches!(e, Error::Findings(_));
             eprintln!("{:?}", miette::Report::new(e));
-            if faulty { ExitCode::from(FAULTY_INPUT) } else { ExitCode::FAILURE }
+            if invalid_input { ExitCode::from(INVALID_INPUT_EXIT_CODE) } else { ExitCode::FAILURE }
         }
     }
 }
--- a/src/reach.rs
+++ b/src/rpc.rs
@@ -1,4 +1,4 @@
-//! Reaching the instances of a cell.
+//! Calls to the instances of a cell.
 
 use std::net::SocketAddr;
 
@@ -6,19 +6,19 @@
 use errors::{Error, Result};
 use ntex::time::Millis as Wait;
 
-/// How long a call may take.
-pub const PATIENCE: Wait = Wait(8_000);
+/// The longest that a call to one instance may take, including the connection.
+pub const CALL_TIMEOUT: Wait = Wait(8_000);
 
-/// Tries the instances one after the other until `call` succeeds with one.
+/// Tries the instances one after the other and returns the first answer.
 ///
 /// # Errors
-/// [`Error::Unreachable`] names every instance that could not be reached.
-pub async fn first<T>(
+/// [`Error::Unreachable`] with the addresses of all instances if none of them answers.
+pub async fn call_first<T>(
     instances: &[SocketAddr],
     call: impl AsyncFn(Operator) -> Option<T>,
 ) -> Result<T> {
     for addr in instances {
-        if let Some(answer) = one(*addr, &call).await {
+        if let Some(answer) = call_one(*addr, &call).await {
             return Ok(answer);
         }
     }
@@ -28,13 +28,13 @@
     })
 }
 
-/// Calls one instance.
-pub async fn one<T>(addr: SocketAddr, call: impl AsyncFn(Operator) -> Option<T>) -> Option<T> {
+/// Calls one instance and returns its answer, or `None` if the call fails or times out.
+pub async fn call_one<T>(addr: SocketAddr, call: impl AsyncFn(Operator) -> Option<T>) -> Option<T> {
     let attempt = async {
         let operator = api::connect(addr).await.ok()?;
         call(operator).await
     };
-    ntex::time::timeout(PATIENCE, attempt).await.ok().flatten()
+    ntex::time::timeout(CALL_TIMEOUT, attempt).await.ok().flatten()
 }
 
 fn names(instances: &[SocketAddr]) -> String {
