--- a/components/api/src/client.rs
+++ b/components/api/src/client.rs
@@ -1,4 +1,4 @@
-//! Reaching an instance as an operator.
+//! The client with which an operator calls an instance.
 
 use std::net::SocketAddr;
 
@@ -9,13 +9,13 @@
 
 use crate::pb::OperatorClient;
 
-/// The calls of an operator to one instance.
+/// A client for the operator calls of one instance.
 pub type Operator = OperatorClient<Client>;
 
-/// Prepares calls to the instance at `addr`; the connection is made with the first call.
+/// Returns a client for the instance at `addr`; the connection is opened by the first call.
 ///
 /// # Errors
-/// [`Error::Unreachable`] if no connection can be prepared.
+/// [`Error::Unreachable`] if the client cannot be created.
 pub async fn connect(addr: SocketAddr) -> Result<Operator> {
     let builder = ClientBuilder::with_default(addr.to_string());
     let client = builder.build(SharedCfg::default()).await;
--- a/components/api/src/convert.rs
+++ b/components/api/src/convert.rs
@@ -1,4 +1,4 @@
-//! The steps between generated messages and the model.
+//! Conversions between the generated messages and the model.
 
 use clock::Millis;
 use errors::{Finding, Findings, Place};
@@ -6,7 +6,7 @@
 
 use crate::pb;
 
-/// Writes a size as an amount.
+/// Returns a size as a message.
 pub fn amount(size: &Size) -> pb::Amount {
     pb::Amount {
         cpu_milli: size.cpu_milli,
@@ -15,7 +15,7 @@
     }
 }
 
-/// Writes a job as a message.
+/// Returns a job as a message.
 pub fn job_message(spec: &JobSpec) -> pb::Job {
     pb::Job {
         name: spec.name.as_str().into(),
@@ -44,10 +44,10 @@
     }
 }
 
-/// Reads a job from a message that may come from anyone.
+/// Returns the job of a message after checking it, because the message is untrusted.
 ///
 /// # Errors
-/// Gives every fault with its field.
+/// Returns every fault with its field.
 pub fn job_spec(job: &pb::Job) -> Result<JobSpec, Findings> {
     let spec = JobSpec {
         name: job.name.as_str().into(),
@@ -81,7 +81,7 @@
     findings.into_result(spec)
 }
 
-/// Writes an event as a message.
+/// Returns an event as a message.
 pub fn event_view(event: &events::Event) -> pb::EventView {
     pb::EventView {
         order: event.order,
--- a/components/api/src/lib.rs
+++ b/components/api/src/lib.rs
@@ -1,9 +1,9 @@
-//! The calls of operators: the generated messages, and the steps between them and the model.
+//! The interface for operators: the generated messages, conversions between them and the model, and the client.
 
 mod client;
 pub mod convert;
 
-/// The messages and methods of proto/heathvale.proto, as the generator wrote them.
+/// The messages and methods generated from proto/heathvale.proto.
 #[allow(missing_docs, clippy::all, clippy::pedantic, dead_code)]
 #[rustfmt::skip]
 #[path = "generated/heathvale_v1.rs"]
--- a/components/events/src/catalogue.rs
+++ b/components/events/src/catalogue.rs
@@ -1,38 +1,38 @@
 //! The catalogue of event kinds.
 
-/// How much an event matters.
+/// The severity of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Level {
-    /// Part of ordinary work.
+    /// Part of normal operation.
     Info,
-    /// Somebody should look when there is time.
+    /// An operator should look into it, but not urgently.
     Warn,
-    /// Somebody should look now.
+    /// An operator should look into it immediately.
     Error,
 }
 
 /// A kind of event.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Kind {
-    /// Its number, which never changes.
+    /// The number, which never changes.
     pub number: u32,
-    /// Its name.
+    /// The name that log lines use.
     pub name: &'static str,
-    /// How much it matters.
+    /// The severity.
     pub level: Level,
-    /// What it means.
+    /// The meaning, as docs/events.md lists it.
     pub meaning: &'static str,
 }
 
 macro_rules! catalogue {
-    ($($ident:ident = $number:literal $level:ident $name:literal $meaning:literal;)*) => {
+    ($($constant:ident = $number:literal $level:ident $name:literal $meaning:literal;)*) => {
         $(
             #[doc = $meaning]
-            pub const $ident: Kind =
+            pub const $constant: Kind =
                 Kind { number: $number, name: $name, level: Level::$level, meaning: $meaning };
         )*
-        /// Every kind, by number.
-        pub const CATALOGUE: &[&Kind] = &[$(&$ident),*];
+        /// Every kind of event, in the order of the numbers.
+        pub const CATALOGUE: &[&Kind] = &[$(&$constant),*];
     };
 }
 
@@ -133,7 +133,7 @@
 
 pub use kinds::CATALOGUE;
 
-/// Finds a kind by its number.
+/// Returns the kind with the given number, if there is one.
 pub fn find_kind(number: u32) -> Option<&'static Kind> {
     CATALOGUE.iter().copied().find(|k| k.number == number)
 }
--- a/components/events/src/journal.rs
+++ b/components/events/src/journal.rs
@@ -1,4 +1,4 @@
-//! The last events of one process.
+//! Keeps the most recent events of a process and copies of those of other instances.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Mutex;
@@ -10,57 +10,58 @@
 use crate::catalogue::{Kind, Level, find_kind};
 use crate::logical_clock::LogicalClock;
 
-/// How many events a process keeps.
-const KEPT: usize = 20_000;
+/// How many events a process keeps, and how many of its own may wait to be copied. The oldest are dropped
+/// first.
+const MAX_EVENTS: usize = 20_000;
 
-/// What an event is about. Fields that do not apply are empty.
+/// The subject of an event. Fields that do not apply are empty.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Subject {
-    /// A job's name.
+    /// The name of a job.
     pub job: String,
-    /// A task's name.
+    /// The name of a task.
     pub task: String,
-    /// A caller's request id or key.
+    /// The id or key of a caller's request.
     pub request: String,
 }
 
 impl Subject {
-    /// About a job.
+    /// Returns the subject of an event about a job.
     pub fn job(job: &impl std::fmt::Display) -> Subject {
         Subject { job: job.to_string(), ..Subject::default() }
     }
 
-    /// About a task.
+    /// Returns the subject of an event about a task and its job.
     pub fn task(task: &model::TaskId) -> Subject {
         let (job, task) = (task.job.to_string(), task.to_string());
         Subject { job, task, ..Subject::default() }
     }
 
-    /// About a request.
+    /// Returns the subject of an event about a request.
     pub fn request(request: &str) -> Subject {
         Subject { request: request.to_string(), ..Subject::default() }
     }
 }
 
-/// One event.
+/// An event that a process has recorded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its place in the order of all processes' events.
+    /// The position in the order of all processes' events, as given by a [`LogicalClock`].
     pub order: u64,
-    /// The wall clock.
+    /// The wall time at which it was recorded.
     pub wall: Millis,
-    /// The process that noted it.
+    /// The process that recorded it.
     pub instance: Name,
-    /// What kind it is.
+    /// The kind of event.
     pub kind: &'static Kind,
-    /// What happened, in words.
+    /// The description of what happened.
     pub text: String,
-    /// What it is about.
+    /// The subject.
     pub subject: Subject,
 }
 
-/// An event as it travels to the other instances of the zone, which keep it for the case that its
-/// own process dies.
+/// An event as it is sent to the other instances of the zone, which keep it in case the process that recorded
+/// it dies.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EventCopy {
     order: u64,
@@ -85,30 +86,30 @@
 }
 
 impl EventCopy {
-    /// Gives the event, unless its kind is from a newer version.
-    fn event(self) -> Option<Event> {
+    /// Returns the event, or `None` if its kind is unknown because it is from a newer version.
+    fn into_event(self) -> Option<Event> {
         let EventCopy { order, wall, instance, number, text, subject } = self;
         Some(Event { order, wall, instance, kind: find_kind(number)?, text, subject })
     }
 }
 
-/// Which events are asked for. Empty fields ask for all.
+/// Criteria for reading events. Fields that are empty or zero match every event.
 #[derive(Clone, Debug, Default)]
 pub struct Filter {
-    /// Only events behind this place in the order.
+    /// Only events after this position in the order.
     pub after: u64,
-    /// Only events about these.
+    /// Only events about this subject.
     pub subject: Subject,
-    /// Only events from this wall time on.
+    /// Only events at or after this wall time.
     pub from: Millis,
-    /// Only events up to this wall time; zero for no end.
+    /// Only events at or before this wall time; zero for no limit.
     pub to: Millis,
 }
 
 impl Filter {
-    /// Tells whether an event is asked for.
+    /// Returns whether an event matches all criteria.
     pub fn accepts(&self, event: &Event) -> bool {
-        let same = |asked: &str, is: &str| asked.is_empty() || asked == is;
+        let same = |wanted: &str, actual: &str| wanted.is_empty() || wanted == actual;
         event.order > self.after
             && event.wall >= self.from
             && (self.to == Millis::ZERO || event.wall <= self.to)
@@ -119,42 +120,42 @@
 }
 
 #[derive(Debug, Default)]
-struct Kept {
-    /// By order and instance, so that an event that comes twice is kept once.
+struct State {
+    /// By order and instance, so that an event that is added twice is kept once.
     events: BTreeMap<(u64, Name), Event>,
-    /// Own events that no copy was made of yet.
+    /// The process's own events that have not been copied to other instances yet.
     uncopied: VecDeque<EventCopy>,
 }
 
-impl Kept {
+impl State {
     fn push(&mut self, event: Event) {
         self.events.insert((event.order, event.instance.clone()), event);
-        if self.events.len() > KEPT {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_first();
         }
     }
 }
 
-/// The last events of this process, and copies of those of its zone's other instances.
+/// The most recent events of this process, and copies of those of the other instances of its zone.
 #[derive(Debug)]
 pub struct Journal {
     instance: Name,
     clock: LogicalClock,
-    kept: Mutex<Kept>,
+    state: Mutex<State>,
 }
 
 impl Journal {
-    /// Makes an empty journal for the process named `instance`.
+    /// Creates an empty journal for the process named `instance`.
     pub fn new(instance: Name) -> Journal {
-        Journal { instance, clock: LogicalClock::default(), kept: Mutex::default() }
+        Journal { instance, clock: LogicalClock::default(), state: Mutex::default() }
     }
 
-    /// Gives the clock that orders this process's events and messages.
+    /// Returns the clock that orders this process's events and messages.
     pub fn clock(&self) -> &LogicalClock {
         &self.clock
     }
 
-    /// Notes an event: into the journal, and as one line into the log.
+    /// Records an event in the journal and writes it to the log as one line.
     pub fn record(&self, kind: &'static Kind, subject: Subject, text: impl Into<String>) {
         let event = Event {
             order: self.clock.next(),
@@ -165,40 +166,40 @@
             subject,
         };
         write_line(&event);
-        let mut kept = self.lock();
-        kept.uncopied.push_back(EventCopy::from(&event));
-        if kept.uncopied.len() > KEPT {
-            kept.uncopied.pop_front();
+        let mut state = self.lock();
+        state.uncopied.push_back(EventCopy::from(&event));
+        if state.uncopied.len() > MAX_EVENTS {
+            state.uncopied.pop_front();
         }
-        kept.push(event);
+        state.push(event);
     }
 
-    /// Gives up to `most` own events that no copy was made of yet.
-    pub fn take_uncopied(&self, most: usize) -> Vec<EventCopy> {
-        let mut kept = self.lock();
-        let n = kept.uncopied.len().min(most);
-        kept.uncopied.drain(..n).collect()
+    /// Removes and returns up to `max` of the process's own events that have not been copied yet.
+    pub fn take_uncopied(&self, max: usize) -> Vec<EventCopy> {
+        let mut state = self.lock();
+        let n = state.uncopied.len().min(max);
+        state.uncopied.drain(..n).collect()
     }
 
-    /// Gives copies of all that is kept, for an instance that has lost its own.
+    /// Returns copies of all events kept, for an instance that has lost its own.
     pub fn all_copies(&self) -> Vec<EventCopy> {
         self.lock().events.values().map(EventCopy::from).collect()
     }
 
-    /// Keeps copies of another instance's events.
+    /// Adds copies of another instance's events. They are not copied further.
     pub fn add_copies(&self, copies: Vec<EventCopy>) {
-        let mut kept = self.lock();
-        copies.into_iter().filter_map(EventCopy::event).for_each(|e| kept.push(e));
+        let mut state = self.lock();
+        copies.into_iter().filter_map(EventCopy::into_event).for_each(|e| state.push(e));
     }
 
-    /// Gives the events that `filter` asks for, in their order.
+    /// Returns the events that match `filter`, in their order.
     pub fn read(&self, filter: &Filter) -> Vec<Event> {
         self.lock().events.values().filter(|e| filter.accepts(e)).cloned().collect()
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Kept> {
-        // A panic while the lock was held cannot leave the queues half changed.
-        self.kept.lock().unwrap_or_else(|e| e.into_inner())
+    fn lock(&self) -> std::sync::MutexGuard<'_, State> {
+        // Ignores poisoning: a panic while the lock was held cannot have left the queues half changed.
+        self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 }
 
--- a/components/events/src/lib.rs
+++ b/components/events/src/lib.rs
@@ -1,4 +1,4 @@
-//! What happened, as numbered events: the log's lines and the time line over all processes.
+//! Numbered events, written as log lines and merged into one time line over all processes.
 //!
 //! Every kind of event has a number that never changes; docs/events.md lists them all.
 
--- a/components/events/src/line_queue.rs
+++ b/components/events/src/line_queue.rs
@@ -1,4 +1,4 @@
-//! A bounded queue between those who log and the stream that is logged to.
+//! A bounded queue between the threads that log and the stream that the log is written to.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -11,14 +11,16 @@
 
 use crate::catalogue::kinds::LINES_DROPPED;
 
-/// How many lines may wait. At some two hundred bytes a line that is well under a megabyte.
-const WAITING: usize = 4_096;
-/// The most lines that are written in a second; the busiest days seen need some four hundred.
-const LINES_A_SECOND: u64 = 2_000;
-/// How often what has gathered is written. One write for many lines costs far less than one each.
-const WRITE_EVERY: Duration = Duration::from_millis(100);
+/// The number of lines that may wait to be written. At about 200 bytes a line, they take less than a megabyte.
+const QUEUE_CAPACITY: usize = 4_096;
+/// The maximum number of lines written per second. The busiest days seen need about 400, which a much smaller
+/// value would drop.
+const MAX_LINES_PER_SECOND: u64 = 2_000;
+/// How often the lines that have gathered are written. One write for many lines costs far less than a write for
+/// each.
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Takes lines and never waits: what does not fit is dropped and counted.
+/// A writer of log lines that never blocks: lines that do not fit into the queue are dropped and counted.
 pub struct LineQueue {
     tx: SyncSender<Vec<u8>>,
     line: Vec<u8>,
@@ -26,17 +28,17 @@
 }
 
 impl LineQueue {
-    /// Starts the thread that writes to `out`.
+    /// Starts the thread that writes the lines to `out`.
     ///
     /// # Errors
-    /// [`Error::Refused`] if no thread can be had.
+    /// [`Error::Refused`] if the thread cannot be started.
     pub fn start(out: impl Write + Send + 'static) -> Result<LineQueue> {
-        let (tx, rx) = sync_channel(WAITING);
+        let (tx, rx) = sync_channel(QUEUE_CAPACITY);
         let dropped = Arc::new(AtomicU64::new(0));
-        let counted = dropped.clone();
+        let dropped_counter = dropped.clone();
         thread::Builder::new()
             .name("lines".into())
-            .spawn(move || write_all(&rx, out, &counted))
+            .spawn(move || write_lines(&rx, out, &dropped_counter))
             .map_err(|e| Error::Refused(format!("cannot start a thread: {e}")))?;
         Ok(LineQueue { tx, line: Vec::new(), dropped })
     }
@@ -57,28 +59,30 @@
     }
 }
 
-fn write_all(rx: &Receiver<Vec<u8>>, mut out: impl Write, dropped: &AtomicU64) {
-    let most = LINES_A_SECOND * WRITE_EVERY.as_millis() as u64 / 1_000;
+/// Writes the queued lines in batches, and a line with the number of lines dropped after each batch that has any.
+fn write_lines(rx: &Receiver<Vec<u8>>, mut out: impl Write, dropped: &AtomicU64) {
+    let max_lines = MAX_LINES_PER_SECOND * WRITE_INTERVAL.as_millis() as u64 / 1_000;
     while let Ok(first) = rx.recv() {
         let mut lines = first;
-        let mut taken = 1;
-        let mut over = 0;
-        thread::sleep(WRITE_EVERY);
+        let mut received = 1;
+        let mut over_limit = 0;
+        thread::sleep(WRITE_INTERVAL);
         while let Ok(line) = rx.try_recv() {
-            match taken < most {
+            match received < max_lines {
                 true => lines.extend(line),
-                false => over += 1,
+                false => over_limit += 1,
             }
-            taken += 1;
+            received += 1;
         }
-        let lost = over + dropped.swap(0, Ordering::Relaxed);
-        if lost > 0 {
+        let dropped_lines = over_limit + dropped.swap(0, Ordering::Relaxed);
+        if dropped_lines > 0 {
             let (number, name) = (LINES_DROPPED.number, LINES_DROPPED.name);
             lines.extend(
-                format!("{} WARN E{number} {name} - lines={lost}\n", clock::wall_now().0).bytes(),
+                format!("{} WARN E{number} {name} - lines={dropped_lines}\n", clock::wall_now().0)
+                    .bytes(),
             );
         }
-        // Nobody is left to tell if the stream is closed.
+        // If the stream is closed, there is nowhere left to report the error.
         let _ = out.write_all(&lines);
         let _ = out.flush();
     }
--- a/components/events/src/logging.rs
+++ b/components/events/src/logging.rs
@@ -1,4 +1,4 @@
-//! Writing the log, as text for people or as JSON lines for machines.
+//! Sets up logging, as text for people or as JSON lines for programs.
 
 use std::fmt::Write;
 
@@ -11,20 +11,20 @@
 use crate::line_queue::LineQueue;
 use log::kv::{Key, Value, VisitSource};
 
-/// How log lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Text for people.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 /// Starts logging to the standard error stream.
 ///
 /// # Errors
-/// [`Error::Refused`] if logging was started before.
+/// [`Error::Refused`] if logging was already started.
 pub fn start_logging(instance: &str, format: LogFormat, level: LevelFilter) -> Result<()> {
     let instance = instance.to_string();
     fern::Dispatch::new()
@@ -43,16 +43,16 @@
         .map_err(|e| Error::Refused(e.to_string()))
 }
 
-/// Starts logging to the standard output stream, one line a decision, through a queue that never
-/// makes a decision wait: `wall time, level, E<number>, name, what it is about, details`.
+/// Starts logging decisions to the standard output stream, one line each, through a queue that never blocks.
+/// A line holds `wall time, level, E<number>, name, subject, details`.
 ///
 /// # Errors
-/// [`Error::Refused`] if logging was started before or no thread can be had.
+/// [`Error::Refused`] if logging was already started or the thread that writes cannot be started.
 pub fn start_logging_to_stdout(level: LevelFilter) -> Result<()> {
     let queue = LineQueue::start(std::io::stdout())?;
     fern::Dispatch::new()
         .level(LevelFilter::Warn)
-        .level_for(DECISIONS, level)
+        .level_for(DECISION_TARGET, level)
         .format(|out, message, record| {
             out.finish(format_args!("{} {} {message}", wall_now().0, record.level()));
         })
@@ -61,41 +61,42 @@
         .map_err(|e| Error::Refused(e.to_string()))
 }
 
-/// Has every panic told in the log, with its place, and end the process: one thread without the
-/// others would keep a process that no longer does its work.
+/// Installs a panic hook that logs each panic with its location and exits the process. Without it, the other
+/// threads would keep a process alive that no longer does its work.
 pub fn exit_on_panic() {
-    let before = std::panic::take_hook();
+    let previous_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
-        let place = panic.location().map(ToString::to_string).unwrap_or_default();
+        let location = panic.location().map(ToString::to_string).unwrap_or_default();
         let what = panic.payload_as_str().unwrap_or_default();
         let thread = std::thread::current().name().unwrap_or_default().to_string();
-        log_decision(&PROCESS_PANICKED, &place, &format!("thread={thread} what={what:?}"));
-        before(panic);
-        // The line is on its way through the queue.
+        log_decision(&PROCESS_PANICKED, &location, &format!("thread={thread} what={what:?}"));
+        previous_hook(panic);
+        // Gives the queue time to write the line.
         std::thread::sleep(std::time::Duration::from_millis(300));
         std::process::exit(PANIC_EXIT_CODE);
     }));
 }
 
-/// The exit code of a process that panicked, as the language's own runtime gives it.
+/// The exit code of a process that panicked, the same as that of Rust's runtime.
 const PANIC_EXIT_CODE: i32 = 101;
 
-/// What the lines of decisions are logged under.
-const DECISIONS: &str = "decision";
+/// The log target of decisions.
+const DECISION_TARGET: &str = "decision";
 
-/// Writes one line about a decision: what it is about, and the inputs that decided it.
+/// Logs a decision as one line with its subject and the inputs that it was based on.
 pub fn log_decision(kind: &'static Kind, subject: &str, details: &str) {
     let level = match kind.level {
         Level::Info => log::Level::Info,
         Level::Warn => log::Level::Warn,
         Level::Error => log::Level::Error,
     };
-    log::log!(target: DECISIONS, level, "E{} {} {subject} {details}", kind.number, kind.name);
+    log::log!(target: DECISION_TARGET, level, "E{} {} {subject} {details}", kind.number, kind.name);
 }
 
-struct Pairs<F: FnMut(&str, String)>(F);
+/// A visitor that calls a function with each key and value of a log record.
+struct PairVisitor<F: FnMut(&str, String)>(F);
 
-impl<'kvs, F: FnMut(&str, String)> VisitSource<'kvs> for Pairs<F> {
+impl<'kvs, F: FnMut(&str, String)> VisitSource<'kvs> for PairVisitor<F> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), log::kv::Error> {
         (self.0)(key.as_str(), value.to_string());
         Ok(())
@@ -104,7 +105,7 @@
 
 fn visit(record: &log::Record<'_>, f: impl FnMut(&str, String)) {
     // The visitor never fails.
-    let _ = record.key_values().visit(&mut Pairs(f));
+    let _ = record.key_values().visit(&mut PairVisitor(f));
 }
 
 fn text_line(
--- a/components/events/src/logical_clock.rs
+++ b/components/events/src/logical_clock.rs
@@ -1,21 +1,22 @@
-//! A logical clock that orders events of several processes by cause.
+//! A logical clock that orders the events of several processes causally.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use clock::wall_now;
 
-/// Room for events within one millisecond.
+/// The number of bits that count the events within one millisecond. Fewer bits would let the clock run further
+/// ahead of wall time under load; more would leave fewer bits for the wall time.
 const COUNTER_BITS: u32 = 20;
 
-/// A hybrid logical clock: wall time in the upper bits, so that numbers of unrelated events lie
-/// near each other, and always beyond every number that was seen in a message.
+/// A hybrid logical clock. Its numbers hold wall time in the upper bits, so that unrelated events are ordered
+/// roughly by time, and are always greater than every number seen in a message.
 #[derive(Debug, Default)]
 pub struct LogicalClock {
     last: AtomicU64,
 }
 
 impl LogicalClock {
-    /// Gives the number of a new event or message.
+    /// Returns the number of a new event or message.
     pub fn next(&self) -> u64 {
         let wall = wall_now().0 << COUNTER_BITS;
         let advance = |last: u64| Some(wall.max(last + 1));
@@ -23,7 +24,7 @@
         wall.max(before.unwrap_or_default() + 1)
     }
 
-    /// Notes the number of a message that came in: whatever follows comes after it.
+    /// Records the number of a received message, so that all later numbers are greater.
     pub fn observe(&self, order: u64) {
         self.last.fetch_max(order, Ordering::SeqCst);
     }
--- a/components/events/tests/catalogue.rs
+++ b/components/events/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue, its page, and the order of events.
+//! Tests of the catalogue, its page, the order of events and the journal.
 
 use std::collections::BTreeSet;
 
@@ -32,12 +32,12 @@
 
 #[test]
 fn what_follows_a_message_comes_after_it() {
-    let (here, there) = (LogicalClock::default(), LogicalClock::default());
-    // A message from a process whose clock is far ahead.
-    there.observe(u64::MAX / 2);
-    let sent = there.next();
-    here.observe(sent);
-    assert!(here.next() > sent);
+    let (receiver, sender) = (LogicalClock::default(), LogicalClock::default());
+    // The message comes from a process whose clock is far ahead.
+    sender.observe(u64::MAX / 2);
+    let sent = sender.next();
+    receiver.observe(sent);
+    assert!(receiver.next() > sent);
 }
 
 #[test]
@@ -61,11 +61,13 @@
     a.record(&kinds::JOB_CREATED, Subject::job(&"x"), "one");
     b.record(&kinds::JOB_ENDED, Subject::job(&"x"), "two");
     b.add_copies(a.take_uncopied(10));
-    // The first process has died; the one after it gets back what both knew, however often it asks.
-    let again = Journal::new("a".into());
-    again.add_copies(b.all_copies());
-    again.add_copies(b.all_copies());
-    let texts: Vec<String> = again.read(&Filter::default()).into_iter().map(|e| e.text).collect();
+    // The first process has died. Its successor receives the events that both knew, and keeps each once even if
+    // it receives the copies twice.
+    let restarted = Journal::new("a".into());
+    restarted.add_copies(b.all_copies());
+    restarted.add_copies(b.all_copies());
+    let texts: Vec<String> =
+        restarted.read(&Filter::default()).into_iter().map(|e| e.text).collect();
     assert_eq!(texts, ["one", "two"]);
-    assert!(again.take_uncopied(10).is_empty(), "copies are not copied on");
+    assert!(restarted.take_uncopied(10).is_empty(), "copies are not copied further");
 }
--- a/components/events/tests/lines.rs
+++ b/components/events/tests/lines.rs
@@ -1,4 +1,5 @@
-//! Lines go out in order and whole, and too many are dropped, counted, and make nobody wait.
+//! Tests that log lines are written completely and in order, and that lines over the limit are dropped and
+//! counted without blocking the writer.
 
 use std::io::Write;
 use std::sync::{Arc, Mutex};
@@ -6,15 +7,16 @@
 
 use events::LineQueue;
 
+/// A stream whose content the test can read while it is written.
 #[derive(Clone, Default)]
-struct Shared(Arc<Mutex<Vec<u8>>>);
+struct SharedOutput(Arc<Mutex<Vec<u8>>>);
 
-impl Shared {
+impl SharedOutput {
     fn text(&self) -> String {
         String::from_utf8_lossy(&self.0.lock().unwrap()).to_string()
     }
 
-    /// Waits until the text holds `part`, or gives up after long.
+    /// Waits until the text contains `part`, for at most a minute, and returns the text.
     fn wait_for(&self, part: &str) -> String {
         let started = Instant::now();
         while !self.text().contains(part) && started.elapsed() < Duration::from_secs(60) {
@@ -24,7 +26,7 @@
     }
 }
 
-impl Write for Shared {
+impl Write for SharedOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -37,7 +39,7 @@
 
 #[test]
 fn lines_come_out_in_order() {
-    let out = Shared::default();
+    let out = SharedOutput::default();
     let mut queue = LineQueue::start(out.clone()).unwrap();
     for i in 0..20 {
         queue.write_all(format!("line {i}\n").as_bytes()).unwrap();
@@ -50,7 +52,7 @@
 
 #[test]
 fn what_is_too_much_is_dropped_and_counted() {
-    let out = Shared::default();
+    let out = SharedOutput::default();
     let mut queue = LineQueue::start(out.clone()).unwrap();
     for i in 0..20_000 {
         queue.write_all(format!("line {i}\n").as_bytes()).unwrap();
--- a/components/events/tests/merge.rs
+++ b/components/events/tests/merge.rs
@@ -1,4 +1,4 @@
-//! Log files of many processes, read back as one story.
+//! Tests of merging the log files of several processes into one sequence.
 
 use events::{gaps, is_about, merge, read_lines};
 
--- a/components/metrics/src/lib.rs
+++ b/components/metrics/src/lib.rs
@@ -1,4 +1,4 @@
-//! Histograms and figures that an instance keeps of itself.
+//! Metrics that a process keeps about itself: counters, gauges and histograms.
 
 mod histogram;
 mod registry;
--- a/components/metrics/tests/registry.rs
+++ b/components/metrics/tests/registry.rs
@@ -1,10 +1,10 @@
-//! The text form, read line by line as a scraper would.
+//! Tests of the text format, read line by line as a scraper would.
 
 use std::collections::BTreeMap;
 
 use metrics::Registry;
 
-/// Reads `name{labels} value` lines; fails on anything else that is no comment.
+/// Parses lines of the form `name{labels} value`; panics on any other line that is not a comment.
 fn parse(text: &str) -> BTreeMap<String, f64> {
     let lines = text.lines().filter(|l| !l.starts_with('#'));
     let read = |l: &str| {
--- a/components/settings/src/flags.rs
+++ b/components/settings/src/flags.rs
@@ -15,23 +15,23 @@
     /// The instance's name.
     #[options(no_short, meta = "NAME", help = "this instance's name, one of --peers (required)")]
     pub name: Option<String>,
-    /// All instances of the cell.
+    /// All instances of the cell, with their zones and addresses.
     #[options(
         no_short,
         meta = "LIST",
-        help = "all instances, this one too, as name=zone@ip:port/ip:port with the addresses for \
-                instances and callers, +disk behind those with a data folder, separated by commas \
+        help = "all instances, including this one, as name=zone@ip:port/ip:port with the addresses for \
+                instances and callers, +disk after those with a data folder, separated by commas \
                 (required)"
     )]
     pub peers: Option<String>,
-    /// Where operators call.
-    #[options(no_short, meta = "IP:PORT", help = "where operators call (required)")]
+    /// The address that operators call.
+    #[options(no_short, meta = "IP:PORT", help = "address that operators call (required)")]
     pub operators: Option<String>,
-    /// Where the platform gives its list of workers.
+    /// The address at which the platform serves its list of workers.
     #[options(
         no_short,
         meta = "IP:PORT",
-        help = "where the platform gives its list of workers (required)"
+        help = "address at which the platform serves its list of workers (required)"
     )]
     pub platform: Option<String>,
     /// The data folder.
@@ -41,7 +41,8 @@
         help = "the data folder; required if --peers marks this instance with +disk, else not allowed"
     )]
     pub data_folder: Option<String>,
-    /// How long the balancer has to notice that this instance stops.
+    /// How long `/health` announces a planned stop before the instance refuses work, in milliseconds. If it is too
+    /// short for the balancer to notice, callers are refused.
     #[options(
         no_short,
         meta = "MS",
@@ -49,36 +50,32 @@
                 1000)"
     )]
     pub drain_notice_ms: Option<String>,
-    /// The longest that a caller's request may take.
+    /// The longest that a caller's request may take, in milliseconds.
     #[options(
         no_short,
         meta = "MS",
         help = "the longest a caller's request may take (default 30000)"
     )]
     pub longest_request_ms: Option<String>,
-    /// How log lines are written.
+    /// The format of log lines.
     #[options(no_short, meta = "FORMAT", help = "log lines as \"text\" (default) or \"json\"")]
     pub log_format: Option<String>,
-    /// How much is logged.
+    /// The log level.
     #[options(
         no_short,
         meta = "LEVEL",
         help = "\"error\", \"warn\", \"info\" (default) or \"off\""
     )]
     pub log_level: Option<String>,
-    /// Seeds everything that is drawn at random.
-    #[options(
-        no_short,
-        meta = "N",
-        help = "seeds what is drawn at random (default: by the clock)"
-    )]
+    /// The seed of all random choices.
+    #[options(no_short, meta = "N", help = "seed of all random choices (default: the wall clock)")]
     pub seed: Option<String>,
-    /// A file of instances whose links are refused, for tests.
+    /// A file with the names of instances whose links are refused, for tests.
     #[options(
         no_short,
         meta = "PATH",
         help = "for tests only: a file with names of instances, one a line, whose links are refused \
-                while they stand in it"
+                while it contains them"
     )]
     pub test_refuse_file: Option<String>,
 }
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! The settings of an instance, from flags and environment variables.
 //!
-//! A flag goes before its variable. All faults are found in one go and nothing is started then;
-//! docs/operators/settings.md has the table of all settings.
+//! A flag takes precedence over its variable. All faults are reported together, and nothing is started if there
+//! are any; docs/operators/settings.md has the table of all settings.
 
 mod flags;
 mod read;
--- a/components/settings/tests/settings.rs
+++ b/components/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings from flags and variables, and all their faults together.
+//! Tests that settings are read from flags and variables, and that all faults are reported together.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
     Flags::parse_args_default(args).unwrap()
 }
 
-fn good() -> Vec<&'static str> {
+fn valid_arguments() -> Vec<&'static str> {
     vec![
         "--name",
         "a2",
@@ -26,7 +26,7 @@
 }
 
 fn with(extra: &[&'static str]) -> Flags {
-    let args: Vec<&str> = good().into_iter().chain(extra.iter().copied()).collect();
+    let args: Vec<&str> = valid_arguments().into_iter().chain(extra.iter().copied()).collect();
     flags(&args)
 }
 
@@ -84,12 +84,12 @@
     }
 }
 
-/// A fault in one setting: the flags that cause it, and the place it is told at.
+/// Tests of a fault in one setting: the flag and value that cause it, and the flag that it is reported for.
 macro_rules! faults {
     ($($name:ident: $flag:expr, $value:expr => $place:expr;)*) => {$(
         #[test]
         fn $name() {
-            let mut args = good();
+            let mut args = valid_arguments();
             match args.iter().position(|a| *a == $flag) {
                 Some(at) => args[at + 1] = $value,
                 None => args.extend([$flag, $value]),
@@ -110,7 +110,7 @@
     a_notice_that_is_no_number: "--drain-notice-ms", "soon" => "drain-notice-ms";
 }
 
-/// The page of settings names every flag and variable, and the help does too.
+/// Checks that the page of settings names every flag in the help, and its variable.
 #[test]
 fn the_page_of_settings_is_complete() {
     let page = include_str!("../../../docs/operators/settings.md");
