--- a/components/dispatch/src/advice_requests.rs
+++ b/components/dispatch/src/advice_requests.rs
@@ -20,7 +20,7 @@
 use crate::input::Moment;
 use crate::limits::MAX_WORKER_SCANS;
 use crate::planning::PlanPass;
-use crate::worker_health::Eligibility;
+use crate::worker_health::WorkerTier;
 
 /// The part of a ticket's validity by which advice on a step may arrive before the step is likely
 /// to open. Declared run times are often too long. Advice that arrives too early costs another
@@ -37,7 +37,7 @@
     /// How many tasks wait, or will.
     pub(crate) tasks: u64,
     /// The workers that may be named.
-    pub(crate) eligibility: Eligibility,
+    pub(crate) worker_tier: WorkerTier,
     /// How many of the reserved instances the call may use.
     pub(crate) advice_priority: AdvicePriority,
 }
@@ -90,14 +90,14 @@
         let (queue, spec) = (job.queue.clone(), job.spec.clone());
         let Some(policy) = self.advice_policies.get(&queue).copied() else { return };
         let tasks = u64::from(spec.steps[key.step as usize].count);
-        let (eligibility, advice_priority) = (Eligibility::Preferred, AdvicePriority::Normal);
+        let (worker_tier, advice_priority) = (WorkerTier::Preferred, AdvicePriority::Normal);
         let need = StepNeedingAdvice {
             key,
             queue,
             policy,
             job: spec,
             tasks,
-            eligibility,
+            worker_tier,
             advice_priority,
         };
         if !self.may_scan(m, &need) {
@@ -199,7 +199,7 @@
             let Some((_, view)) = worker_views.next_if(|(known, _)| *known == id) else { continue };
             let may_be_allowed = disallowed.is_none_or(|b| !b.contains(id));
             if may_be_allowed
-                && self.is_suitable(m, need.eligibility, &job.service, spec, worker, view)
+                && self.is_suitable(m, need.worker_tier, &job.service, spec, worker, view)
             {
                 matching.push(self.advice_candidate(key, spec, worker));
             }
--- a/components/dispatch/src/aging.rs
+++ b/components/dispatch/src/aging.rs
@@ -15,7 +15,7 @@
 use crate::dispatcher::Dispatcher;
 use crate::input::Moment;
 use crate::limits::{ADVICE_AGED_AFTER, MAX_AGED_STEPS, MAX_AGED_STEPS_EXAMINED};
-use crate::worker_health::Eligibility;
+use crate::worker_health::WorkerTier;
 use crate::worker_view::WorkerView;
 
 /// Returns whether at least half of each resource is free.
@@ -76,7 +76,7 @@
             let additional_tasks =
                 || fits(spec, &worker.free()).min(max_additional_tasks(key, spec, worker));
             let suitable =
-                || self.is_suitable(m, Eligibility::Preferred, &job.service, spec, worker, view);
+                || self.is_suitable(m, WorkerTier::Preferred, &job.service, spec, worker, view);
             may_be_allowed && additional_tasks() > 0 && suitable()
         };
         workers.iter().any(can_take)
--- a/components/dispatch/src/candidates.rs
+++ b/components/dispatch/src/candidates.rs
@@ -8,7 +8,7 @@
 use crate::dispatcher::Dispatcher;
 use crate::input::Moment;
 use crate::suspects::{Suspicion, YoungSuspects};
-use crate::worker_health::Eligibility;
+use crate::worker_health::WorkerTier;
 
 /// The cost of a worker on which a run of the task has failed: more than that of a completely
 /// filled one.
@@ -150,7 +150,7 @@
     pub(crate) fn candidates(
         &self,
         m: Moment,
-        eligibility: Eligibility,
+        worker_tier: WorkerTier,
         key: &StepKey,
         spec: &StepSpec,
         needs_ticket: bool,
@@ -160,7 +160,7 @@
             // With a backlog most workers are full, and this check is the cheapest.
             let worker =
                 self.replicated.worker(id).filter(|w| spec.required_capacity().fits(&w.free()))?;
-            self.suitable_worker(m, eligibility, key, spec, id)?;
+            self.suitable_worker(m, worker_tier, key, spec, id)?;
             let near_data = spec.rack.as_ref().is_some_and(|r| worker.info.labels.contains(r));
             let on_probation =
                 self.worker_views.get(id).is_some_and(|v| v.health.is_on_probation(m.now));
@@ -179,9 +179,9 @@
                     .map_or(0, |v| v.health.failure_weight(m.now)),
                 suspects: self.plan_state.young_suspects.get(id).copied().unwrap_or_default(),
                 has_young_run: any_suspects && self.has_young_run(m.now, id),
-                on_probation: on_probation && eligibility != Eligibility::All,
+                on_probation: on_probation && worker_tier != WorkerTier::All,
                 // A failed try must not end a job, unless the job has nothing else to wait for.
-                allows_last_attempt: !on_probation || eligibility != Eligibility::Preferred,
+                allows_last_attempt: !on_probation || worker_tier != WorkerTier::Preferred,
                 assigned: false,
             })
         };
--- a/components/dispatch/src/capacity_reservations.rs
+++ b/components/dispatch/src/capacity_reservations.rs
@@ -18,7 +18,7 @@
     MIN_PREEMPTOR_RUN_TIME, OVERDUE_EXAMINATION_BUDGET,
 };
 use crate::planning::PlanPass;
-use crate::worker_health::Eligibility;
+use crate::worker_health::WorkerTier;
 use crate::worker_view::{Stage, WorkerView};
 
 /// The workers that are eligible for a step, whatever capacity they have free. Reservations are
@@ -149,7 +149,7 @@
     pub(crate) fn reserve_capacity(
         &mut self,
         m: Moment,
-        eligibility: Eligibility,
+        worker_tier: WorkerTier,
         key: &StepKey,
         spec: &StepSpec,
         tasks: usize,
@@ -188,7 +188,7 @@
         }
         let candidates = ids
             .into_iter()
-            .filter_map(|id| self.reservation_candidate(m, eligibility, key, spec, id));
+            .filter_map(|id| self.reservation_candidate(m, worker_tier, key, spec, id));
         let mut candidates: Vec<ReservationCandidate> = candidates.collect();
         self.plan_state.examined += candidates.len() as u64;
         reserved.steps += 1;
@@ -266,12 +266,12 @@
     fn reservation_candidate(
         &self,
         m: Moment,
-        eligibility: Eligibility,
+        worker_tier: WorkerTier,
         key: &StepKey,
         spec: &StepSpec,
         id: &WorkerId,
     ) -> Option<ReservationCandidate> {
-        let worker = self.suitable_worker(m, eligibility, key, spec, id)?;
+        let worker = self.suitable_worker(m, worker_tier, key, spec, id)?;
         if !spec.size.fits(&worker.info.capacity) {
             return None;
         }
--- a/components/dispatch/src/planning.rs
+++ b/components/dispatch/src/planning.rs
@@ -18,7 +18,7 @@
     MIN_LOGGED_WAIT, OVERDUE_ROTATION_INTERVAL,
 };
 use crate::step_selection::{Readiness, SelectedSteps};
-use crate::worker_health::Eligibility;
+use crate::worker_health::WorkerTier;
 use crate::worker_view::{Order, Stage, WorkerView};
 
 /// Which of a step's tasks a plan places, and in which order relative to other steps.
@@ -206,8 +206,8 @@
             return 0;
         }
         let advice = self.advice_policies.get(&queue).copied();
-        let eligibility = self.eligibility(m, &key, spec, pass, advice.is_some());
-        let mut candidates = self.candidates(m, eligibility, &key, spec, advice.is_some());
+        let worker_tier = self.worker_tier(m, &key, spec, pass, advice.is_some());
+        let mut candidates = self.candidates(m, worker_tier, &key, spec, advice.is_some());
         self.plan_state.examined += candidates.len() as u64;
         let placed = match spec.gang {
             true => self.assign_gang(&key, spec, &waiting, &mut candidates),
@@ -234,7 +234,7 @@
                         policy,
                         job,
                         tasks,
-                        eligibility,
+                        worker_tier,
                         advice_priority,
                     },
                 );
@@ -256,10 +256,10 @@
                 (job.clone(), remaining as u64, Dispatcher::advice_priority(pass));
             self.request_advice(
                 m,
-                StepNeedingAdvice { key, queue, policy, job, tasks, eligibility, advice_priority },
+                StepNeedingAdvice { key, queue, policy, job, tasks, worker_tier, advice_priority },
             );
         }
-        self.reserve_capacity(m, eligibility, &key, spec, remaining, pass);
+        self.reserve_capacity(m, worker_tier, &key, spec, remaining, pass);
         placed_count
     }
 
@@ -267,7 +267,7 @@
     pub(crate) fn suitable_worker(
         &self,
         m: Moment,
-        eligibility: Eligibility,
+        worker_tier: WorkerTier,
         key: &StepKey,
         spec: &StepSpec,
         id: &WorkerId,
@@ -275,7 +275,7 @@
         let worker = self.replicated.worker(id)?;
         let view = self.worker_views.get(id)?;
         let job = self.replicated.job(key.job)?;
-        self.is_suitable(m, eligibility, &job.service, spec, worker, view).then_some(worker)
+        self.is_suitable(m, worker_tier, &job.service, spec, worker, view).then_some(worker)
     }
 
     /// Returns whether tasks of a step may run on a worker, for a caller that has looked up the
@@ -283,7 +283,7 @@
     pub(crate) fn is_suitable(
         &self,
         m: Moment,
-        eligibility: Eligibility,
+        worker_tier: WorkerTier,
         service: &Name,
         spec: &StepSpec,
         worker: &Worker,
@@ -292,7 +292,7 @@
         let has_label = spec.constraint.as_ref().is_none_or(|l| worker.info.labels.contains(l));
         let is_match = worker.info.service == *service && has_label;
         is_match
-            && self.is_eligible(m, eligibility, worker, view)
+            && self.is_eligible(m, worker_tier, worker, view)
             && self.is_compatible(spec, worker)
     }
 
@@ -310,7 +310,7 @@
         let can_take = |id: &WorkerId| {
             let allowed = !needs_advice || self.advice_scheduler.is_allowed(key, id);
             let worker = if allowed {
-                self.suitable_worker(m, Eligibility::Preferred, key, spec, id)
+                self.suitable_worker(m, WorkerTier::Preferred, key, spec, id)
             } else {
                 None
             };
--- a/components/dispatch/src/worker_health.rs
+++ b/components/dispatch/src/worker_health.rs
@@ -211,7 +211,7 @@
 
 /// The workers that a step may go to, by their health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Eligibility {
+pub(crate) enum WorkerTier {
     /// Workers that are not deprioritised. One on probation gets one try at a time.
     Preferred,
     /// Deprioritised workers, too. One on probation, quarantined or not, gets one try at a time.
@@ -329,7 +329,7 @@
     pub(crate) fn is_eligible(
         &self,
         m: Moment,
-        eligibility: Eligibility,
+        worker_tier: WorkerTier,
         worker: &Worker,
         view: &WorkerView,
     ) -> bool {
@@ -339,10 +339,10 @@
         let last_began = || view.orders.values().map(|o| o.since).max();
         let may_try =
             || !view.health.is_on_probation(m.now) || view.health.may_try(m.now, last_began());
-        match eligibility {
-            Eligibility::Preferred => !self.is_deprioritised(m, worker, view) && may_try(),
-            Eligibility::Deprioritised => may_try(),
-            Eligibility::All => true,
+        match worker_tier {
+            WorkerTier::Preferred => !self.is_deprioritised(m, worker, view) && may_try(),
+            WorkerTier::Deprioritised => may_try(),
+            WorkerTier::All => true,
         }
     }
 
@@ -363,34 +363,34 @@
     /// Returns the workers that a step may go to. Deprioritised workers are excluded only while
     /// another one may run the step, whatever capacity it has free, and none of the step's
     /// long-running tasks is overdue: a failed try costs such a task nothing.
-    pub(crate) fn eligibility(
+    pub(crate) fn worker_tier(
         &self,
         m: Moment,
         key: &StepKey,
         spec: &StepSpec,
         pass: PlanPass,
         needs_advice: bool,
-    ) -> Eligibility {
-        let Some(job) = self.replicated.job(key.job) else { return Eligibility::Preferred };
+    ) -> WorkerTier {
+        let Some(job) = self.replicated.job(key.job) else { return WorkerTier::Preferred };
         if pass == PlanPass::Overdue {
-            return Eligibility::All;
+            return WorkerTier::All;
         }
         if !self.plan_state.any_deprioritised {
-            return Eligibility::Preferred;
+            return WorkerTier::Preferred;
         }
         let disallowed = if needs_advice { self.advice_scheduler.disallowed(key) } else { None };
         let is_preferred = |(id, view): (&WorkerId, &WorkerView)| {
             let may_be_allowed = disallowed.is_none_or(|b| !b.contains(id));
             let worker = if may_be_allowed { self.replicated.worker(id) } else { None };
             worker.is_some_and(|w| {
-                self.is_suitable(m, Eligibility::Preferred, &job.service, spec, w, view)
+                self.is_suitable(m, WorkerTier::Preferred, &job.service, spec, w, view)
                     && !view.health.is_on_probation(m.now)
                     && spec.size.fits(&w.info.capacity)
             })
         };
         match self.worker_views.iter().any(is_preferred) {
-            true => Eligibility::Preferred,
-            false => Eligibility::Deprioritised,
+            true => WorkerTier::Preferred,
+            false => WorkerTier::Deprioritised,
         }
     }
 }
